--- a/src/core/member/lc-ack-fold.h
+++ b/src/core/member/lc-ack-fold.h
@@ -1,16 +1,16 @@
-/* lc-ack-fold: many acknowledgements folded into one.
+/* lc-ack-fold: an aggregate of the acknowledgements of many processes.
  *
  * WHAT IT IS
- *   A fold says of a set of nodes what all of them have reached: the lowest revision applied by its
+ *   A fold holds what every process of a set has reached: the lowest revision applied by its
  *   balancers, the lowest applied by its agents, the lowest at which its agents' flows are
- *   registered, and how many nodes are behind.  Folding is a minimum, so it is associative and may
- *   be done at every level on the way up; it never says more than its weakest member.
+ *   registered, and how many processes are behind.  Folding takes minima, so it is associative and
+ *   can be done at each level of the tree on the way to control.
  *
  * HOW TO USE IT
  *     lc_fold_init (&fold);
  *     lc_fold_add_agent (&fold, applied, registered, newest);
  *     lc_fold_merge (&fold, &fold_of_a_balancer_below);
- *     lc_fold_in_force (&fold)      applied by every node; 0 when there is none
+ *     lc_fold_in_force (&fold)      applied by every process; 0 when there is none
  *     lc_fold_settled (&fold)       applied by every balancer and registered by every agent
  *
  * LIFETIME
@@ -28,8 +28,8 @@
 
   typedef struct
   {
-    LcRevision balancers_applied; /* UINT64_MAX: none */
-    LcRevision agents_applied;    /* UINT64_MAX: none */
+    LcRevision balancers_applied; /* UINT64_MAX: no balancer */
+    LcRevision agents_applied;    /* UINT64_MAX: no agent */
     LcRevision registered;        /* UINT64_MAX: no agent */
     uint32_t n_balancers;
     uint32_t n_agents;
@@ -37,7 +37,7 @@
   } LcFold;
 
   void lc_fold_init (LcFold *fold);
-  /* `newest` is the newest revision that the folding node knows. */
+  /* `newest`: the newest revision of the process that folds. */
   void
   lc_fold_add_agent (LcFold *fold, LcRevision applied, LcRevision registered, LcRevision newest);
   void lc_fold_add_balancer (LcFold *fold, LcRevision applied, LcRevision newest);
--- a/src/core/member/lc-backend-status.c
+++ b/src/core/member/lc-backend-status.c
@@ -6,20 +6,19 @@
 enum
 {
   LC_BACKEND_FIRST_REPORT = 1,  /* sequence of the first report of a start */
-  LC_BACKEND_TOGETHER_MS = 150, /* less than a start of an agent and its first view take */
+  LC_BACKEND_TOGETHER_MS = 150, /* shorter than an agent takes to start and get a view */
 };
 
 enum
 {
   LC_BACKEND_INTERVAL_MS = 1200,
-  LC_BACKEND_SILENT_PERMILLE = 2500, /* of the interval: one report may be lost, the next be late */
-  LC_BACKEND_ASK_PERMILLE = 1250,    /* of the interval: the first report has come by then */
+  LC_BACKEND_SILENT_PERMILLE = 2500, /* of the interval: one lost report and one late one */
+  LC_BACKEND_ASK_PERMILLE = 1250,    /* of the interval: the first report is due before */
 };
 
 /* === private: identities ==================================================================== */
 
-/* A start is told apart by its id and the time at which it began; without a time, by its id alone.
- */
+/* Hash of a start's id and time; born_ms is 0 where no time is sent. */
 static LcInstance
 lc_backend_status__instance_of (const LcBackendReport *report)
 {
@@ -35,7 +34,7 @@
   return false;
 }
 
-/* What was known before, by its own word or by the view's, is over. */
+/* Moves the present start, reported or listed by the view, to the earlier ones. */
 static void
 lc_backend_status__retire (LcBackendStatus *s, LcInstance successor)
 {
@@ -50,8 +49,8 @@
 
 typedef enum
 {
-  LC_BACKEND_ORDER_SAME,    /* of the start that is known */
-  LC_BACKEND_ORDER_EARLIER, /* of one before it, or of none that can be told */
+  LC_BACKEND_ORDER_SAME,    /* of the present start */
+  LC_BACKEND_ORDER_EARLIER, /* of an earlier one, or can't be attributed */
   LC_BACKEND_ORDER_LATER,
 } LcBackendOrder;
 
@@ -60,11 +59,11 @@
 {
   int64_t silent_us = (int64_t)s->desc.interval_ms * LC_BACKEND_SILENT_PERMILLE;
 
-  return now_us - s->heard_us > silent_us;
+  return now_us - s->reported_us > silent_us;
 }
 
-/* The end may come without the time of the start: it is believed of one that has said that it
- * leaves.  Any other word without it, of a backend server that names its start, is nobody's. */
+/* Orders a report without a time when the present start has one.  Only the end of a draining start
+ * is accepted; any other can't be attributed to a start. */
 static LcBackendOrder
 lc_backend_status__order_unborn (const LcBackendStatus *s, const LcBackendReport *report)
 {
@@ -73,9 +72,10 @@
   return is_end ? LC_BACKEND_ORDER_SAME : LC_BACKEND_ORDER_EARLIER;
 }
 
-/* Of which start the report is.  Times of starts are compared with each other only, never with a
- * clock of ours: theirs may step.  Under another id they decide while the known start is heard: a
- * clock that stepped back keeps a new backend server from work for a silence, not for ever. */
+/* Orders a report's start against the present one.  Start times are never compared with the local
+ * clock, as the backend server's may step.  Under another id they decide only while the present
+ * start reports: after a step back, a new backend server is ignored for one silence, not forever.
+ * */
 static LcBackendOrder
 lc_backend_status__order (const LcBackendStatus *s, const LcBackendReport *report, int64_t now_us)
 {
@@ -89,13 +89,13 @@
   if (have_both && report->born_ms < s->newest.born_ms &&
       (is_same_id || !lc_backend_status__is_silent (s, now_us)))
     return LC_BACKEND_ORDER_EARLIER;
-  /* A later time under the same id proves a later start, also of one that the view named before. */
+  /* A later time under the same id is a later start, even of one that the view listed before. */
   if (is_same_id && have_both)
     return LC_BACKEND_ORDER_LATER;
   if (!lc_backend_status__is_earlier (s, lc_backend_status__instance_of (report)))
     return LC_BACKEND_ORDER_LATER;
-  /* One that counts as earlier and began later by its own clock was displaced by a word that came
-   * late, while it was silent itself: it is believed again when that one is silent in its turn. */
+  /* An "earlier" start with a later time was displaced by a delayed report while it was silent
+   * itself; it is accepted again once the start that displaced it is silent. */
   return have_both && report->born_ms > s->newest.born_ms &&
                  lc_backend_status__is_silent (s, now_us)
              ? LC_BACKEND_ORDER_LATER
@@ -106,7 +106,7 @@
 lc_backend_status__note (LcBackendStatus *s, const LcBackendReport *report, int64_t now_us)
 {
   s->newest = *report;
-  s->heard_us = now_us;
+  s->reported_us = now_us;
   s->warm_at_us = now_us + (int64_t)report->cold_ms * LC_US_PER_MS;
 }
 
@@ -158,11 +158,11 @@
     default:
       break;
     }
-  /* What was said of leaving is never taken back, whatever order the reports come in. */
+  /* The state never goes back, in whatever order the reports come. */
   if (report->state < before ||
       (report->state != LC_BACKEND_ENDED && report->sequence <= s->newest.sequence))
     return LC_BACKEND_LATE;
-  taken.born_ms = s->newest.born_ms; /* the end of a start need not name it */
+  taken.born_ms = s->newest.born_ms; /* the report of an end may lack it */
   lc_backend_status__note (s, &taken, now_us);
   return report->state != before ? LC_BACKEND_CHANGED : LC_BACKEND_SAME;
 }
--- a/src/core/member/lc-backend-status.h
+++ b/src/core/member/lc-backend-status.h
@@ -1,18 +1,18 @@
-/* lc-backend-status: what a backend server has said of itself, and whether it may be given work.
+/* lc-backend-status: the state of a backend server, from its own reports to its agent.
  *
  * WHAT IT IS
- *   A backend server may report itself to the agent beside it: who it is, whether it takes new
- * work, how long it stays slow after its start.  Reports may come late, doubled or out of order,
- * and a backend server that starts again is another one under the same address, and may be so under
- * the same id: it holds nothing of before, and its sequence begins anew.  This module keeps the
- * newest word and says what a report changed.
+ *   A backend server may report itself to the agent on its VM: its id, whether it accepts new work,
+ *   and how long it stays slow after its start.  Reports may come late, twice or out of order.  A
+ *   backend server that restarts is a new one at the same address, sometimes under the same id: it
+ *   holds nothing of the old one's flows, and its sequence begins anew.  This module keeps the
+ *   newest report and returns what each report changed.
  *
- * WHICH START A REPORT IS OF
- *   A start is the pair of an id and the time at which it began (`born_ms`).  Under one id a later
- * time is a new start, whatever its sequence, and an earlier one changes nothing, however late it
- * comes.  Times are compared with each other only.  Who never names a time is told apart by the id
- * alone; once a time was named, a report without it counts as late, but for the end of a start that
- * has said that it leaves.
+ * WHICH START A REPORT BELONGS TO
+ *   A start is the pair of an id and the time at which it began (`born_ms`).  Under one id, a later
+ *   time is a new start, whatever its sequence; an earlier one is ignored, however late it comes.
+ *   Times are compared only with each other.  A backend server that never sends a time is
+ *   identified by its id alone; once a time was sent, a report without one counts as late, except
+ *   for the end of a start that is draining.
  *
  * HOW TO USE IT
  *     lc_backend_status_init (&status, &desc, now_us);
@@ -25,8 +25,8 @@
  *   Plain values; nothing to free.
  *
  * LIMITS
- *   The LC_BACKEND_EARLIER_MAX identities before the present one are remembered: a report that
- * comes later than that many restarts would count as a new backend server.
+ *   The last LC_BACKEND_EARLIER_MAX identities before the present one are kept: a report delayed by
+ *   more restarts than that would count as a new backend server.
  */
 #ifndef LC_BACKEND_STATUS_H
 #define LC_BACKEND_STATUS_H
@@ -45,29 +45,29 @@
 
   typedef enum
   {
-    LC_BACKEND_UNKNOWN = 0,  /* nothing was reported yet */
-    LC_BACKEND_READY = 1,    /* takes new work */
-    LC_BACKEND_DRAINING = 2, /* keeps what it has, takes nothing new */
-    LC_BACKEND_ENDED = 3,    /* said that it ends */
+    LC_BACKEND_UNKNOWN = 0,  /* no report yet */
+    LC_BACKEND_READY = 1,    /* accepts new work */
+    LC_BACKEND_DRAINING = 2, /* keeps its flows, accepts no new work */
+    LC_BACKEND_ENDED = 3,    /* reported its end */
   } LcBackendState;
 
   typedef struct
   {
     char id[LC_NAME_MAX]; /* of this start of the backend server */
     LcBackendState state;
-    uint64_t born_ms;  /* when this start began, Unix time at the backend server; 0: not said */
-    uint64_t sequence; /* grows with each report of one start */
-    uint32_t slots;    /* requests that it runs at once; 0: not said */
-    uint32_t cold_ms;  /* still slow for so long */
+    uint64_t born_ms;  /* when this start began, Unix time at the backend server; 0: not sent */
+    uint64_t sequence; /* increases with each report of one start */
+    uint32_t slots;    /* concurrent requests; 0: not sent */
+    uint32_t cold_ms;  /* remaining time of its slow start */
     char service[LC_NAME_MAX];
   } LcBackendReport;
 
   typedef enum
   {
-    LC_BACKEND_SAME = 0,    /* nothing new but the sign of life */
-    LC_BACKEND_LATE = 1,    /* older than what is known: ignored */
-    LC_BACKEND_STARTED = 2, /* another backend server than before: all its flows are new */
-    LC_BACKEND_CHANGED = 3, /* the state went on */
+    LC_BACKEND_SAME = 0,    /* a refresh without change */
+    LC_BACKEND_LATE = 1,    /* older than the newest report: ignored */
+    LC_BACKEND_STARTED = 2, /* a new start: it holds no earlier flow */
+    LC_BACKEND_CHANGED = 3, /* the state advanced */
   } LcBackendNews;
 
   typedef struct
@@ -81,35 +81,33 @@
     int64_t started_us;
     LcBackendReport newest;
     LcInstance earlier[LC_BACKEND_EARLIER_MAX]; /* newest first; 0: none */
-    LcInstance named;                           /* by the view, before anything was reported */
-    int64_t heard_us;
-    int64_t warm_at_us; /* no longer slow from then on */
+    LcInstance named;                           /* listed by the view, before the first report */
+    int64_t reported_us;                        /* time of the newest report */
+    int64_t warm_at_us;                         /* end of its slow start */
   } LcBackendStatus;
 
-  /* Whether no agent process before the one that began at `began_ms` (Unix time, by the same VM's
-   * clock) can have given flows to the start that this report is of: it is its first report, or its
-   * second and both began together, as when their VM starts and the agent is up a moment later.  An
-   * earlier process would have had to start, get a view, be given flows and end in between. */
+  /* Whether no agent process before the present one, which began at `began_ms` (Unix time, same
+   * clock), can have assigned flows to the start of this report.  True for its first report, and
+   * for its second when both began together, as at the boot of their VM: an earlier agent would
+   * have had to start, get a view, be given flows and end in between. */
   bool lc_backend_report_is_of_new (const LcBackendReport *report, uint64_t began_ms);
 
   void
   lc_backend_status_init (LcBackendStatus *status, const LcBackendStatusDesc *desc, int64_t now_us);
-  /* The view names this start of the backend server.  If another one reports itself first, a report
-   * of this one that comes later, held up on its way, is late. */
+  /* Sets the start that the view lists.  If another one reports first, a delayed report of this one
+   * counts as late. */
   void lc_backend_status_note_named (LcBackendStatus *status, LcInstance instance);
   LcBackendNews
   lc_backend_status_take (LcBackendStatus *status, const LcBackendReport *report, int64_t now_us);
-  /* Whether it may be given new flows: it is ready, and was heard within two and a half intervals.
-   */
+  /* Whether it may be given new flows: ready, and its newest report at most 2.5 intervals old. */
   bool lc_backend_status_is_open (const LcBackendStatus *status, int64_t now_us);
-  /* Whether a backend server of which nothing was reported yet may be asked: after a restart of the
-   * process beside it, it is more likely there than not, it says by itself what it can't take, and
-   * it reports itself within an interval.  `is_candidate`: the view names it, and not as leaving.
-   */
+  /* Whether a backend server without a report may be tried.  After a restart of its agent it most
+   * likely still runs, refuses what it can't accept, and reports within an interval.
+   * `is_candidate`: the view lists it, and not as leaving. */
   bool lc_backend_status_may_ask (const LcBackendStatus *status, bool is_candidate, int64_t now_us);
-  /* Whether it is cold still; one of which nothing was reported may be. */
+  /* Whether it is in its slow start; true without a report, as it may be. */
   bool lc_backend_status_is_cold (const LcBackendStatus *status, int64_t now_us);
-  /* Names this start of the backend server, by its id and time; 0: none was reported. */
+  /* Hash of the id and time of the present start; 0 without a report. */
   LcInstance lc_backend_status_instance (const LcBackendStatus *status);
 
 #ifdef __cplusplus
--- a/src/core/member/lc-first-view.c
+++ b/src/core/member/lc-first-view.c
@@ -8,9 +8,9 @@
 }
 
 bool
-lc_first_view_may_take (const LcFirstView *first, uint32_t n_unheard, int64_t now_us)
+lc_first_view_may_take (const LcFirstView *first, uint32_t n_unanswered, int64_t now_us)
 {
-  if (n_unheard == 0 || now_us - first->started_us >= LC_FIRST_VIEW_START_MS * LC_US_PER_MS)
+  if (n_unanswered == 0 || now_us - first->started_us >= LC_FIRST_VIEW_START_MS * LC_US_PER_MS)
     return true;
   return first->offered_us != 0 &&
          now_us - first->offered_us >= LC_FIRST_VIEW_OTHERS_MS * LC_US_PER_MS;
--- a/src/core/member/lc-flap.c
+++ b/src/core/member/lc-flap.c
@@ -6,11 +6,11 @@
 enum
 {
   LC_FLAP_HALF_LIFE_MS = 15000,
-  LC_FLAP_PENALTY = 1000,
+  LC_FLAP_PENALTY = 1000, /* per return */
   LC_FLAP_SUPPRESS_AT = 3500,
   LC_FLAP_REUSE_AT = 1500,
   LC_FLAP_MAX_PENALTY = 8000,
-  LC_FLAP_FORGET_AT = 100,
+  LC_FLAP_FORGET_AT = 100, /* penalty below which a record is freed */
 };
 
 typedef struct
@@ -48,10 +48,10 @@
 static void
 lc_flap__decay (const LcFlap *flap, LcFlapRecord *record, int64_t now_us)
 {
-  double lives =
+  double half_lives =
       (double)(now_us - record->at_us) / ((double)flap->desc.half_life_ms * LC_US_PER_MS);
 
-  record->penalty *= exp2 (-lives);
+  record->penalty *= exp2 (-half_lives);
   record->at_us = now_us;
 }
 
--- a/src/core/member/lc-flap.h
+++ b/src/core/member/lc-flap.h
@@ -1,19 +1,19 @@
-/* lc-flap: damps a member that comes and goes.
+/* lc-flap: flap damping of members, as BGP damps routes.
  *
  * WHAT IT IS
  *   Each return after a loss adds a penalty that decays by half every half_life_ms.  Above
  *   suppress_at the member's return is not reported until the penalty has fallen below reuse_at, so
- *   a member that dies every few seconds changes the view a few times and then no more.
+ *   a member that dies every few seconds changes the view only a few times.
  *
  * HOW TO USE IT
  *     lc_flap_init (&flap, &desc);
  *     lc_flap_note (&flap, "order-3", now_us);                 it came back
- *     if (lc_flap_is_suppressed (&flap, "order-3", now_us))    not yet
- *     lc_flap_expire (&flap, now_us);                          now and then
+ *     if (lc_flap_is_suppressed (&flap, "order-3", now_us))    don't report it yet
+ *     lc_flap_expire (&flap, now_us);                          periodically
  *     lc_flap_finish (&flap);
  *
  * LIFETIME
- *   Owns one record a name until its penalty has decayed.
+ *   Owns one record per name until its penalty has decayed.
  */
 #ifndef LC_FLAP_H
 #define LC_FLAP_H
@@ -30,15 +30,15 @@
   typedef struct
   {
     uint32_t half_life_ms; /* 0: 15 000 */
-    uint32_t suppress_at;  /* penalty, 1000 a return; 0: 3500 */
+    uint32_t suppress_at;  /* penalty, 1000 per return; 0: 3500 */
     uint32_t reuse_at;     /* 0: 1500 */
-    uint32_t max_penalty;  /* bounds the wait; 0: 8000 */
+    uint32_t max_penalty;  /* bounds the time of suppression; 0: 8000 */
   } LcFlapDesc;
 
   typedef struct
   {
     LcFlapDesc desc;
-    GHashTable *records; /* name -> private record */
+    GHashTable *records; /* name -> LcFlapRecord */
     uint64_t suppressed_total;
   } LcFlap;
 
--- a/src/core/member/lc-flush-pace.h
+++ b/src/core/member/lc-flush-pace.h
@@ -1,25 +1,24 @@
-/* lc-flush-pace: how much at a time a server of views sends, and when it goes on.
+/* lc-flush-pace: bounds on the time and memory that serving views to subscribers takes.
  *
  * WHAT IT IS
- *   Two limits of a process that serves its view to many members, kept apart from its links.
+ *   Two limits of a process that sends its view to many members, independent of its links.
  *
- *   Time.  After a loss of everything some 300 members ask one leader for their views while it
- * commits as many announcements, each of which is news for all of them.  A leader that sends news
- * every 10 ms then does nothing else, its heartbeats come late, and a second election follows: 0.3
- * s more until everybody has a view (five control VMs with 0.24 cores).  So it sends for
- * LC_FLUSH_SLICE_US at most, and pauses so that sending takes no more than half of its time.
- * News that come meanwhile travel together.
+ *   Time.  After a loss of everything some 300 members request their views from one leader while it
+ *   commits as many announcements, each an update for all of them.  A leader that sends updates
+ *   every 10 ms does nothing else: its heartbeats come late and a second election follows, 0.3 s
+ *   more until every member has a view (five control VMs with 0.24 cores).  So it sends for at most
+ *   LC_FLUSH_SLICE_US, then pauses so that sending takes at most half of its time.  Updates that
+ *   come meanwhile are sent together.
  *
- *   Memory.  What is encoded and not yet taken by its reader is bounded for the process: a limit
- * for each link alone (256 KiB) is 77 MB for 300 readers that are slow together, of 80 MB that a VM
- * has.
+ *   Memory.  Bytes encoded but not yet read by a subscriber are bounded for the whole process: a
+ *   limit per link alone (256 KiB) is 77 MB for 300 slow readers, of the 80 MB that a VM has.
  *
  * HOW TO USE IT
  *     started_us = now;
- *     while (somebody waits && !lc_flush_is_spent (started_us, now) &&
+ *     while (a subscriber waits && !lc_flush_is_spent (started_us, now) &&
  *            lc_flush_has_room (unsent_bytes))
  *       serve one
- *     go on after lc_flush_pause_ms (now - started_us)
+ *     continue after lc_flush_pause_ms (now - started_us)
  *
  * LIFETIME
  *   Plain functions.
@@ -39,10 +38,10 @@
 
   enum
   {
-    LC_FLUSH_PAUSE_MIN_MS = 10, /* news that come together travel together */
+    LC_FLUSH_PAUSE_MIN_MS = 10, /* batches updates that come together */
     LC_FLUSH_PAUSE_MAX_MS = 200,
-    LC_FLUSH_PAUSE_TIMES = 1, /* of the time spent: sending takes half */
-    /* A tenth of what a control VM or balancer of 80 MB has. */
+    LC_FLUSH_PAUSE_TIMES = 1, /* pause per time spent sending: 1 is half of the time */
+    /* A tenth of the memory of a control VM or balancer of 80 MB. */
     LC_FLUSH_UNSENT_MAX_BYTES = 8 << 20,
   };
 
--- a/src/core/member/lc-guard.c
+++ b/src/core/member/lc-guard.c
@@ -8,7 +8,7 @@
   LC_GUARD_MIN_LOSSES = 3,
   LC_GUARD_WINDOW_MS = 10000,
   LC_GUARD_HOLD_MS = 20000,
-  LC_GUARD_QUIET_MS = 2000, /* held reports come again every second */
+  LC_GUARD_QUIET_MS = 2000, /* watchers repeat held reports every second */
 };
 
 typedef enum
@@ -18,15 +18,15 @@
   LC_GUARD_GROUP_BALANCERS = 3,
 } LcGuardGroupKind;
 
-/* The losses of one group. */
+/* The losses of a data centre, of a service, or of the balancers of a data centre. */
 typedef struct
 {
-  GArray *lost_us;             /* times of committed losses inside the window */
-  GHashTable *held;            /* names reported while the group is held -> last report */
+  GArray *lost_us;             /* times of the losses committed inside the window */
+  GHashTable *held;            /* name of a reported, uncommitted loss -> time of its last report */
   int64_t hold_since_us;       /* 0: not held */
   LcRevision counted_revision; /* of the view in which n_present was counted */
   uint32_t n_present;
-  bool is_released; /* the hold has ended; losses pass until the group is quiet */
+  bool is_released; /* the hold has ended; losses pass until none is left */
 } LcGuardGroup;
 
 /* Reports of the last endpoint of a service. */
@@ -129,8 +129,8 @@
   g_hash_table_replace (group->held, g_strdup (name), at_us);
 }
 
-/* One more loss of a group with `n_present` members left: hold or pass?  A held loss is counted
- * with the committed ones, so that a slow flood does not slip through one by one. */
+/* Decides on a loss in a group with `n_present` members left.  Held losses count together with the
+ * committed ones, so that slow mass losses don't pass one by one. */
 static LcGuardVerdict
 lc_guard__check_group (
     LcGuard *guard, LcGuardGroup *group, uint32_t n_present, const char *name, int64_t now_us)
@@ -152,7 +152,7 @@
   return group->is_released ? LC_GUARD_PASS : LC_GUARD_HOLD;
 }
 
-/* === private: what is there ================================================================= */
+/* === private: counts of members ============================================================= */
 
 static bool
 lc_guard__is_present (const LcEndpoint *e)
@@ -170,8 +170,8 @@
   return n;
 }
 
-/* O(endpoints): asked only when losses of the data centre reach the least number that can hold, and
- * once a revision, since held losses are reported every second. */
+/* O(endpoints), so it is called only when the data centre has min_losses, and the result is kept
+ * for the revision, as held losses are reported every second. */
 static uint32_t
 lc_guard__count_dc (LcGuardGroup *group, const LcView *view, LcDcId dc)
 {
@@ -264,7 +264,7 @@
     }
   if (lc_guard__recent (dc) >= guard->desc.min_losses)
     n_dc = lc_guard__count_dc (dc, view, e->dc);
-  /* Both are asked, so that both holds run at the same time. */
+  /* Both are checked, so that both holds run at the same time. */
   by_dc = lc_guard__check_group (guard, dc, n_dc, e->name, now_us);
   by_service = lc_guard__check_group (guard, service, n_service, e->name, now_us);
   if (by_dc == LC_GUARD_HOLD)
@@ -325,7 +325,7 @@
   g_array_append_val (group->lost_us, now_us);
 }
 
-/* Control commits a loss only of what was there, so the operation alone says enough. */
+/* Needs no view: control commits a loss only of a member that was present. */
 void
 lc_guard_note (LcGuard *guard, const LcViewOp *op, int64_t now_us)
 {
