--- a/src/core/member/lc-lease.c
+++ b/src/core/member/lc-lease.c
@@ -115,7 +115,7 @@
   memset (table, 0, sizeof *table);
 }
 
-/* A name may pass from one kind of member to another; what was known of the old one is dropped. */
+/* A name may move to a member of the other kind; the lease of the former one is removed. */
 static LcLease *
 lc_lease__find_same (LcLeaseTable *table, const LcMemberChange *announced)
 {
@@ -157,7 +157,7 @@
       lease->reported = 0;
       lc_fold_init (&lease->fold);
     }
-  lease->member = *announced; /* the key points at the same bytes of the same name */
+  lease->member = *announced; /* keeps the key valid: it points at the name in these bytes */
   lease->is_seeded = false;
   lc_lease_renew (table, lease, now_us);
   return lease;
--- a/src/core/member/lc-op-log.c
+++ b/src/core/member/lc-op-log.c
@@ -74,7 +74,7 @@
   log->ops[(log->first + log->n_ops) % log->capacity] = *op;
   log->n_ops++;
   log->newest_revision = op->revision;
-  /* One revision larger than the whole history: nothing before its end is whole. */
+  /* One revision exceeds max_ops: no delta that starts before it is complete. */
   if (log->floor_revision == op->revision)
     lc_op_log_reset (log, op->revision);
   return 0;
--- a/src/core/member/lc-op-log.h
+++ b/src/core/member/lc-op-log.h
@@ -1,8 +1,8 @@
-/* lc-op-log: the recent operations, from which a relay serves deltas.
+/* lc-op-log: a bounded history of view operations, from which a relay serves deltas.
  *
  * WHAT IT IS
- *   A bounded history of LcViewOp in order of revision.  It knows the lowest revision from which a
- *   delta is still whole (floor); a subscriber below it needs a snapshot.
+ *   LcViewOp in order of revision.  A delta from the floor revision on is complete; a subscriber
+ *   below it needs a snapshot.
  *
  * HOW TO USE IT
  *     lc_op_log_init (&log, 0);
@@ -14,7 +14,7 @@
  *
  * LIMITS
  *   At most max_ops operations (0: 4096).  Operations of one revision are dropped together, so a
- *   delta never holds half a revision.
+ *   delta never holds part of a revision.
  */
 #ifndef LC_OP_LOG_H
 #define LC_OP_LOG_H
@@ -33,13 +33,13 @@
     size_t first;
     size_t n_ops;
     size_t max_ops;
-    LcRevision floor_revision;  /* deltas from here on are whole */
-    LcRevision newest_revision; /* last appended, or that of the reset */
+    LcRevision floor_revision;  /* deltas from here on are complete */
+    LcRevision newest_revision; /* of the last append or reset */
   } LcOpLog;
 
   void lc_op_log_init (LcOpLog *log, size_t max_ops);
   void lc_op_log_finish (LcOpLog *log);
-  /* Forgets everything: the view was replaced as a whole at `revision`. */
+  /* Drops all operations: a snapshot replaced the view at `revision`. */
   void lc_op_log_reset (LcOpLog *log, LcRevision revision);
   /* 0, or LC_ERR_STALE for an operation older than the newest. */
   int lc_op_log_append (LcOpLog *log, const LcViewOp *op);
--- a/src/core/member/lc-relays.c
+++ b/src/core/member/lc-relays.c
@@ -9,7 +9,7 @@
   return XXH3_64bits (b->name, strlen (b->name));
 }
 
-/* How many times as wide as the thinnest its link is; 1 where links are not known. */
+/* Bandwidth of its link as a multiple of the thinnest; 1 where a bandwidth is not known. */
 static uint32_t
 lc_relays__times (const LcBalancer *b, uint32_t thinnest_kbps)
 {
@@ -19,13 +19,13 @@
 static bool
 lc_relays__is_better (const LcBalancer *a, const LcBalancer *b, uint32_t thinnest_kbps)
 {
-  uint32_t a_times = lc_relays__times (a, thinnest_kbps);
-  uint32_t b_times = lc_relays__times (b, thinnest_kbps);
+  uint32_t a_ratio = lc_relays__times (a, thinnest_kbps);
+  uint32_t b_ratio = lc_relays__times (b, thinnest_kbps);
 
-  return a_times != b_times ? a_times > b_times : lc_relays__score (a) > lc_relays__score (b);
+  return a_ratio != b_ratio ? a_ratio > b_ratio : lc_relays__score (a) > lc_relays__score (b);
 }
 
-/* Keeps the best LC_RELAYS_MAX, best first. */
+/* Inserts `b` into the best LC_RELAYS_MAX, best first. */
 static uint32_t
 lc_relays__insert (const LcBalancer *out[], uint32_t n, uint32_t thinnest_kbps, const LcBalancer *b)
 {
@@ -48,8 +48,7 @@
   return b->dc == dc && b->state == LC_BALANCER_ACTIVE;
 }
 
-/* How many balancers count, and the thinnest link among them; 0 kbit/s: not all have said theirs.
- */
+/* Counts the active balancers and finds their thinnest link; 0 kbit/s: one has not reported it. */
 static uint32_t
 lc_relays__count (const LcView *view, LcDcId dc, uint32_t *thinnest_kbps)
 {
@@ -68,7 +67,7 @@
   return n;
 }
 
-/* Of the best `n_best`, how many are relays for `n` balancers. */
+/* Number of relays for `n` balancers, from the best `n_best`. */
 static uint32_t
 lc_relays__n_wanted (const LcBalancer *const best[],
                      uint32_t n_best,
--- a/src/core/member/lc-relays.h
+++ b/src/core/member/lc-relays.h
@@ -1,25 +1,26 @@
-/* lc-relays: which balancers of a data centre speak to control.
+/* lc-relays: selects the relays of a data centre in the fan-out tree from control to balancers.
  *
  * WHAT IT IS
- *   In a small data centre every balancer is linked to control.  In a large one a few are (its
- *   relays: three, or one for each twenty balancers): the others take the view from two of them,
- * renew their leases with them, and send acknowledgements and reports through them.  Relays are the
- * first active balancers by a hash of their names, so every node that knows the view knows them,
- * and the death of one promotes one.
+ *   In a small data centre every balancer is linked to control.  In a large one only its relays are
+ *   (three, or one per twenty balancers): the others get the view from two of them, renew their
+ *   leases with them, and send acknowledgements and reports through them.  Relays are the first
+ *   active balancers by a hash of their names, so every process with the view selects the same
+ *   ones, and the death of one promotes the next.
  *
  * WIDE LINKS
- *   After a loss of everything a relay hands on the announcements of all members to each balancer
- *   below: seconds of a thin link.  Where all balancers of a data centre have said how wide their
- *   links are, and two are at least twice as wide as the thinnest, the widest are its relays, as
- *   many as can carry equal shares: LC_RELAYS_BALANCERS for each time that a relay's link is as
- * wide as the thinnest, LC_RELAYS_TIMES_MAX times at most.
+ *   After a loss of everything a relay forwards the announcements of all members to each balancer
+ *   below it, which takes seconds on a thin link.  Where all balancers of a data centre have
+ *   reported the bandwidth of their links, and two links are at least twice as wide as the
+ *   thinnest, the balancers with the widest links become relays, as many as can carry equal shares:
+ *   LC_RELAYS_BALANCERS for each multiple of the thinnest link's bandwidth, up to
+ *   LC_RELAYS_TIMES_MAX multiples.
  *
  * HOW TO USE IT
- *     n = lc_relays_list (&view, dc, relays);              0: the data centre has none, all direct
+ *     n = lc_relays_list (&view, dc, relays);              0: no relays, all are direct
  *     if (lc_relays_is_direct (&view, balancer)) ...       linked to control itself
  *
  * LIMITS
- *   O(balancers of the view) a call.
+ *   Each call is O(balancers of the view).
  */
 #ifndef LC_RELAYS_H
 #define LC_RELAYS_H
@@ -33,16 +34,16 @@
 
   enum
   {
-    LC_RELAYS_ABOVE = 8, /* balancers: with so many or fewer all are direct */
+    LC_RELAYS_ABOVE = 8, /* up to this many balancers all are direct */
     LC_RELAYS_MIN = 3,
     LC_RELAYS_MAX = 24,
-    LC_RELAYS_BALANCERS = 20, /* for each relay: keeps one below the control allowance */
-    LC_RELAYS_WIDE_MIN = 2,   /* relays where links are wide: a balancer below uses two */
-    LC_RELAYS_TIMES_MAX = 8,  /* more than that a processor does not carry either */
+    LC_RELAYS_BALANCERS = 20, /* per relay: keeps it below the control allowance */
+    LC_RELAYS_WIDE_MIN = 2,   /* with wide links: a balancer below uses two relays */
+    LC_RELAYS_TIMES_MAX = 8,  /* beyond that the processor is the limit */
   };
 
   uint32_t lc_relays_list (const LcView *view, LcDcId dc, const LcBalancer *out[LC_RELAYS_MAX]);
-  /* Whether one of a data centre's balancers is direct, given its list of relays. */
+  /* Whether a balancer is direct, given the relays of its data centre; all are when n is 0. */
   bool lc_relays_is_listed (const LcBalancer *const relays[], uint32_t n, LcBalancerId id);
   bool lc_relays_is_direct (const LcView *view, const LcBalancer *balancer);
 
--- a/src/core/member/lc-scope.c
+++ b/src/core/member/lc-scope.c
@@ -12,7 +12,7 @@
   scope->dc_id = dc != NULL ? dc->id : 0;
 }
 
-/* A service that is opened again under the same name has a new id. */
+/* A service that is removed and opened again under the same name has a new id. */
 static bool
 lc_scope__wants_service (LcScope *scope, const LcService *service)
 {
@@ -21,8 +21,8 @@
   return service->id == scope->service_id;
 }
 
-/* An agent is told where the flows of its service may go, and nothing of addresses that leave it
- * free.  The operation that takes homes away names them. */
+/* An agent needs only the addresses of its service that restrict where flows may go.  The operation
+ * that removes homes still names them, so it passes. */
 static bool
 lc_scope__wants_address (const LcScope *scope, const LcAddress *address)
 {
--- a/src/core/member/lc-scope.h
+++ b/src/core/member/lc-scope.h
@@ -1,15 +1,15 @@
-/* lc-scope: the part of the view that a subscriber needs.
+/* lc-scope: filters the view to the part that a subscriber needs.
  *
  * WHAT IT IS
  *   A balancer needs the whole view.  An agent needs its own service with its endpoints and former
  *   sets, those of its addresses that have homes, the balancers of its own data centre, and the
- * data centres; it gets nothing of the other services, nor other addresses, nor routes.  A relay
- *   filters operations and snapshots by the scope.
+ *   data centres; it gets no other service, no other address and no route.  A relay filters
+ *   operations and snapshots by the scope.
  *
  * HOW TO USE IT
  *     LcScope scope = { .is_scoped = true, .service = "order-desk", .data_centre = "hall-atl" };
  *     lc_scope_resolve (&scope, &view);       names to ids, before anything is sent
- *     if (lc_scope_wants (&scope, &op)) ...   in the order of the operations: it learns ids
+ *     if (lc_scope_wants (&scope, &op)) ...   in order, as operations may update the ids
  *     lc_scope_snapshot (&scope, &view, each, user);
  *
  * LIFETIME
@@ -27,7 +27,7 @@
 
   typedef struct
   {
-    bool is_scoped; /* false: everything */
+    bool is_scoped; /* false: the whole view */
     LcServiceId service_id;
     LcDcId dc_id;
     char service[LC_NAME_MAX];
@@ -37,7 +37,7 @@
   void lc_scope_resolve (LcScope *scope, const LcView *view);
   bool lc_scope_wants (LcScope *scope, const LcViewOp *op);
   void lc_scope_snapshot (const LcScope *scope, const LcView *view, LcViewEach each, void *user);
-  /* Operations that a snapshot would hold, to weigh it against a delta. */
+  /* Size of a snapshot in operations, to compare it with a delta. */
   size_t lc_scope_snapshot_ops (const LcScope *scope, const LcView *view);
 
 #ifdef __cplusplus
--- a/src/core/member/lc-settle.c
+++ b/src/core/member/lc-settle.c
@@ -63,14 +63,14 @@
 }
 
 LcRevision
-lc_settle_end (const LcSettle *settle, const LcView *view, uint32_t n_excused)
+lc_settle_end (const LcSettle *settle, const LcView *view, uint32_t n_exempt)
 {
   LcRevision settled = MIN (lc_fold_settled (&settle->fold), view->revision);
 
   if (settled <= view->settled_revision || !lc_settle__is_useful (view, settled))
     return 0;
   if (settle->fold.n_balancers < lc_settle__live_balancers (view) ||
-      settle->fold.n_agents + n_excused < lc_settle__live_endpoints (view))
+      settle->fold.n_agents + n_exempt < lc_settle__live_endpoints (view))
     return 0;
   return settled;
 }
--- a/src/core/member/lc-staleness.c
+++ b/src/core/member/lc-staleness.c
@@ -13,17 +13,17 @@
 {
   bool was_stale = s->is_stale;
 
-  if (s->mark != 0 && own >= s->mark)
+  if (s->missing != 0 && own >= s->missing)
     {
-      s->mark = 0;
+      s->missing = 0;
       s->is_stale = false;
     }
-  if (s->mark == 0 && own < s->newest)
+  if (s->missing == 0 && own < s->newest)
     {
-      s->mark = s->newest;
-      s->mark_us = now_us;
+      s->missing = s->newest;
+      s->missing_since_us = now_us;
     }
-  s->is_stale = s->mark != 0 && now_us - s->mark_us >= LC_STALENESS_US;
+  s->is_stale = s->missing != 0 && now_us - s->missing_since_us >= LC_STALENESS_US;
   if (s->is_stale == was_stale)
     return LC_STALENESS_SAME;
   return s->is_stale ? LC_STALENESS_BEGINS : LC_STALENESS_ENDS;
@@ -32,11 +32,11 @@
 bool
 lc_staleness_lacks (const LcStaleness *s, LcRevision revision)
 {
-  return s->is_stale && revision < s->mark;
+  return s->is_stale && revision < s->missing;
 }
 
 int64_t
 lc_staleness_us (const LcStaleness *s, int64_t now_us)
 {
-  return s->mark != 0 ? now_us - s->mark_us : 0;
+  return s->missing != 0 ? now_us - s->missing_since_us : 0;
 }
--- a/src/core/member/lc-upstreams.h
+++ b/src/core/member/lc-upstreams.h
@@ -1,9 +1,9 @@
-/* lc-upstreams: which upstream a node keeps to.
+/* lc-upstreams: ranks the upstreams of a process by rendezvous hashing.
  *
  * WHAT IT IS
- *   A list of addresses in order of rendezvous score on the node's own name: nodes spread evenly,
- *   and only the nodes of an upstream that goes have to move.  An upstream that was silent is
- *   avoided for a while.
+ *   A list of addresses ordered by their rendezvous score for the process's own name: processes
+ *   spread evenly over upstreams, and only those of an upstream that goes away have to move.  An
+ *   upstream that was silent is avoided for a while.
  *
  * HOW TO USE IT
  *     lc_upstreams_init (&up, "order-3");
@@ -13,7 +13,7 @@
  *     lc_upstreams_finish (&up);
  *
  * LIMITS
- *   Adding n addresses costs O(n log n) at end.
+ *   lc_upstreams_end sorts: O(n log n) for n addresses.
  */
 #ifndef LC_UPSTREAMS_H
 #define LC_UPSTREAMS_H
@@ -39,21 +39,21 @@
   {
     uint64_t seed;
     GArray *list; /* LcUpstream, best first */
-    GArray *next; /* being filled */
+    GArray *next; /* the list that begin ... end fills */
   } LcUpstreams;
 
   void lc_upstreams_init (LcUpstreams *up, const char *name);
   void lc_upstreams_finish (LcUpstreams *up);
   void lc_upstreams_begin (LcUpstreams *up);
   void lc_upstreams_add (LcUpstreams *up, uint32_t ipv4, uint16_t port);
-  /* Takes the new list and keeps who is avoided; an empty one keeps the old list. */
+  /* Replaces the list, keeping avoid_until_us of its addresses; an empty one is ignored. */
   void lc_upstreams_end (LcUpstreams *up);
   void lc_upstreams_avoid (LcUpstreams *up, uint32_t ipv4, uint16_t port, int64_t until_us);
-  /* Fills `out` with the best `max`; avoided ones only when there are no others. */
+  /* Fills `out` with the best `max`, avoided ones last. */
   uint32_t lc_upstreams_best (const LcUpstreams *up, int64_t now_us, LcUpstream *out, uint32_t max);
-  /* Position of an address among all by score; UINT32_MAX when it is not listed. */
+  /* Rank of an address by score, from 0; UINT32_MAX when it is not listed. */
   uint32_t lc_upstreams_rank (const LcUpstreams *up, uint32_t ipv4, uint16_t port);
-  /* The rendezvous score of an upstream for a node's name. */
+  /* Rendezvous score of an upstream for a process's name. */
   uint64_t lc_upstream_score (const char *name, uint32_t ipv4, uint16_t port);
 
 #ifdef __cplusplus
--- a/src/core/member/lc-view-sync.c
+++ b/src/core/member/lc-view-sync.c
@@ -30,7 +30,7 @@
   sync->next_part = 0;
 }
 
-/* Operations must lie inside (from, to] in order: a sender that breaks this is not believed. */
+/* Whether the operations lie inside (from, to] in order; a delta that violates this is dropped. */
 static bool
 lc_view_sync__is_ordered (LcRevision from, LcRevision to, const LcViewOp *ops, size_t n_ops)
 {
@@ -48,7 +48,7 @@
 static LcSyncResult
 lc_view_sync__fail (LcViewSync *sync)
 {
-  sync->is_damaged = true;
+  sync->needs_snapshot = true;
   sync->failed_total++;
   return LC_SYNC_ASK;
 }
@@ -68,7 +68,7 @@
 lc_view_sync__may_replace (const LcViewSync *sync, LcRevision revision)
 {
   return revision > sync->view.revision ||
-         (sync->is_damaged && revision == sync->view.revision && revision > 0);
+         (sync->needs_snapshot && revision == sync->view.revision && revision > 0);
 }
 
 static void
@@ -79,11 +79,11 @@
   lc_view_advance (&sync->staged, sync->staged_revision);
   sync->view = sync->staged;
   sync->staged = old;
-  sync->is_damaged = false;
+  sync->needs_snapshot = false;
   lc_view_sync__drop_staged (sync);
 }
 
-/* A first part starts over, unless a newer snapshot is already coming in. */
+/* A first part restarts staging, unless a newer snapshot of another source is being staged. */
 static bool
 lc_view_sync__begin (LcViewSync *sync, uint32_t source, LcRevision revision)
 {
@@ -123,7 +123,7 @@
 
   if (to <= view->revision || to < from || !lc_view_sync__is_ordered (from, to, ops, n_ops))
     return lc_view_sync__ignore (sync);
-  if (from > view->revision || sync->is_damaged || view->revision == 0)
+  if (from > view->revision || sync->needs_snapshot || view->revision == 0)
     {
       sync->gaps_total++;
       return LC_SYNC_ASK;
@@ -182,5 +182,5 @@
 LcRevision
 lc_view_sync_from (const LcViewSync *sync)
 {
-  return sync->is_damaged ? 0 : sync->view.revision;
+  return sync->needs_snapshot ? 0 : sync->view.revision;
 }
--- a/src/core/member/lc-view-sync.h
+++ b/src/core/member/lc-view-sync.h
@@ -1,22 +1,23 @@
-/* lc-view-sync: what a subscriber does with deltas and snapshots.
+/* lc-view-sync: a subscriber's view, updated from deltas and snapshots and never moved back.
  *
  * WHAT IT IS
- *   Keeps one view that only moves forward.  Deltas and snapshot parts may come from several
- *   sources (upstreams), late, twice, out of order or with parts missing:
+ *   Deltas and snapshot parts may come from several sources (upstreams), late, twice, out of order
+ *   or with parts missing:
  *     - a delta that starts at or before the view and ends after it is applied, without the
  *       operations that the view has already;
- *     - a delta that starts after the view is a gap: ask again from the view's revision;
+ *     - a delta that starts after the view is a gap: subscribe again from the view's revision;
  *     - parts of a snapshot are staged and replace the view only when the last has come, and only
  *       by a higher revision (or the same one, when an operation failed to apply);
- *     - whatever is older is dropped.
+ *     - anything older is dropped.
  *
  * HOW TO USE IT
  *     lc_view_sync_init (&sync);
- *     switch (lc_view_sync_delta (&sync, source, from, to, ops, n_ops, &error))
- *       case LC_SYNC_APPLIED: ... sync.view has moved; sync.n_skipped of ops were known ...
- *       case LC_SYNC_RESET:   ... a snapshot has replaced the view ...
+ *     switch (lc_view_sync_delta (&sync, from, to, ops, n_ops, &error))
+ *       case LC_SYNC_APPLIED: ... sync.view has moved; the first sync.n_skipped of ops were old ...
  *       case LC_SYNC_IGNORED: ... nothing to do ...
  *       case LC_SYNC_ASK:     ... send a subscription from lc_view_sync_from (&sync) ...
+ *     switch (lc_view_sync_part (&sync, source, revision, part, is_last, ops, n_ops, &error))
+ *       case LC_SYNC_RESET:   ... a snapshot has replaced the view ...
  *     lc_view_sync_finish (&sync);
  *
  * LIFETIME
@@ -35,7 +36,7 @@
   typedef enum
   {
     LC_SYNC_IGNORED,
-    LC_SYNC_STAGED, /* a part was taken; the view is as before */
+    LC_SYNC_STAGED, /* a part was stored; the view has not changed */
     LC_SYNC_APPLIED,
     LC_SYNC_RESET,
     LC_SYNC_ASK,
@@ -48,8 +49,8 @@
     LcRevision staged_revision; /* 0: none is being staged */
     uint32_t staged_source;
     uint32_t next_part;
-    size_t n_skipped; /* leading operations of the last delta that the view had already */
-    bool is_damaged;  /* an operation failed: only a snapshot mends it */
+    size_t n_skipped;    /* leading operations of the last delta that the view had */
+    bool needs_snapshot; /* an operation failed to apply */
     uint64_t gaps_total;
     uint64_t stale_total; /* dropped deltas and parts */
     uint64_t failed_total;
@@ -71,8 +72,8 @@
                                   const LcViewOp *ops,
                                   size_t n_ops,
                                   LcError *error);
-  /* The source is gone; true when it was in the middle of a snapshot, which has to be asked for
-   * again elsewhere. */
+  /* Drops a snapshot that this source had not completed; returns whether there was one, which has
+   * to be requested from another source. */
   bool lc_view_sync_source_down (LcViewSync *sync, uint32_t source);
   /* The revision to subscribe from: the view's, or 0 when a snapshot is needed. */
   LcRevision lc_view_sync_from (const LcViewSync *sync);
--- a/src/core/member/lc-watch.c
+++ b/src/core/member/lc-watch.c
@@ -45,7 +45,7 @@
   memset (watch, 0, sizeof *watch);
 }
 
-/* === private: what the view lacks =========================================================== */
+/* === private: transitions that the view lacks =============================================== */
 
 static bool
 lc_watch__is_leaving (const LcLease *lease)
@@ -70,48 +70,51 @@
 static LcMemberChangeKind
 lc_watch__missing_endpoint (const LcLease *lease, const LcView *view)
 {
-  const LcEndpoint *mine = &lease->member.endpoint;
-  const LcEndpoint *seen = lc_view_endpoint_by_name (view, mine->name);
-  bool is_mine = seen != NULL && seen->instance == mine->instance;
-  bool is_open =
-      is_mine && (seen->state == LC_ENDPOINT_JOINING || seen->state == LC_ENDPOINT_ACTIVE);
-
-  /* Only its own word says that it is gone: one that leaves may live on with its flows while this
-   * watcher hears nothing of it, because it renews its lease with others. */
+  const LcEndpoint *own = &lease->member.endpoint;
+  const LcEndpoint *in_view = lc_view_endpoint_by_name (view, own->name);
+  bool is_same_instance = in_view != NULL && in_view->instance == own->instance;
+  bool is_present = is_same_instance &&
+                    (in_view->state == LC_ENDPOINT_JOINING || in_view->state == LC_ENDPOINT_ACTIVE);
+
+  /* Only the member itself can report that it is gone: a leaving one may still have flows and renew
+   * its lease with other watchers after it has expired here. */
   if (lease->phase == LC_MEMBER_PHASE_GONE)
-    return is_mine ? LC_MEMBER_ENDPOINT_GONE : 0;
+    return is_same_instance ? LC_MEMBER_ENDPOINT_GONE : 0;
   if (lc_watch__is_over (lease))
-    return is_mine && seen->state != LC_ENDPOINT_LOST ? LC_MEMBER_ENDPOINT_LOST : 0;
+    return is_same_instance && in_view->state != LC_ENDPOINT_LOST ? LC_MEMBER_ENDPOINT_LOST : 0;
   if (lease->is_seeded || lease->state != LC_LEASE_HELD)
     return 0;
-  if (lc_watch__is_leaving (lease) && seen != NULL && (!is_mine || seen->state != LC_ENDPOINT_LOST))
-    return is_open ? LC_MEMBER_ENDPOINT_LEAVING : 0;
-  if (!is_mine || seen->state == LC_ENDPOINT_LOST || lc_watch__endpoint_differs (mine, seen))
+  if (lc_watch__is_leaving (lease) && in_view != NULL &&
+      (!is_same_instance || in_view->state != LC_ENDPOINT_LOST))
+    return is_present ? LC_MEMBER_ENDPOINT_LEAVING : 0;
+  if (!is_same_instance || in_view->state == LC_ENDPOINT_LOST ||
+      lc_watch__endpoint_differs (own, in_view))
     return LC_MEMBER_ENDPOINT_ANNOUNCED;
-  return seen->state == LC_ENDPOINT_JOINING && lease->is_ramped ? LC_MEMBER_ENDPOINT_RAMPED : 0;
+  return in_view->state == LC_ENDPOINT_JOINING && lease->is_ramped ? LC_MEMBER_ENDPOINT_RAMPED : 0;
 }
 
 static LcMemberChangeKind
 lc_watch__missing_balancer (const LcLease *lease, const LcView *view)
 {
-  const LcBalancer *mine = &lease->member.balancer;
-  const LcBalancer *seen = lc_view_balancer_by_name (view, mine->name);
-  bool is_mine = seen != NULL && seen->instance == mine->instance;
+  const LcBalancer *own = &lease->member.balancer;
+  const LcBalancer *in_view = lc_view_balancer_by_name (view, own->name);
+  bool is_same_instance = in_view != NULL && in_view->instance == own->instance;
 
   if (lc_watch__is_over (lease))
     {
-      if (!is_mine || seen->state == LC_BALANCER_LOST)
+      if (!is_same_instance || in_view->state == LC_BALANCER_LOST)
         return 0;
-      return lc_watch__is_leaving (lease) || seen->state == LC_BALANCER_LEAVING
+      return lc_watch__is_leaving (lease) || in_view->state == LC_BALANCER_LEAVING
                  ? LC_MEMBER_BALANCER_GONE
                  : LC_MEMBER_BALANCER_LOST;
     }
   if (lease->is_seeded || lease->state != LC_LEASE_HELD)
     return 0;
   if (lc_watch__is_leaving (lease))
-    return is_mine && seen->state == LC_BALANCER_ACTIVE ? LC_MEMBER_BALANCER_LEAVING : 0;
-  if (!is_mine || seen->state == LC_BALANCER_LOST || seen->ipv4 != mine->ipv4 ||
-      seen->peer_port != mine->peer_port || seen->flow_port != mine->flow_port)
+    return is_same_instance && in_view->state == LC_BALANCER_ACTIVE ? LC_MEMBER_BALANCER_LEAVING
+                                                                    : 0;
+  if (!is_same_instance || in_view->state == LC_BALANCER_LOST || in_view->ipv4 != own->ipv4 ||
+      in_view->peer_port != own->peer_port || in_view->flow_port != own->flow_port)
     return LC_MEMBER_BALANCER_ANNOUNCED;
   return 0;
 }
@@ -123,7 +126,7 @@
                                                        : lc_watch__missing_endpoint (lease, view);
 }
 
-/* === public: members speak ================================================================== */
+/* === public: announcements and renewals ===================================================== */
 
 static void
 lc_watch__forget (LcWatch *watch, LcLease *lease)
@@ -132,7 +135,7 @@
   lc_lease_remove (&watch->leases, lease);
 }
 
-/* A member that is heard again after a loss, or under a new instance, has come back. */
+/* Counts an announcement after a loss, or of a new instance without a planned stop, as a return. */
 static void
 lc_watch__note_return (LcWatch *watch,
                        const LcLease *known,
@@ -293,7 +296,7 @@
   return lc_flap_is_suppressed (&watch->flap, lc_member_change_name (&lease->member), now_us);
 }
 
-/* Handles one lease; false when it is finished and may be forgotten. */
+/* Reports the transition of one lease if due; false when the lease can be dropped. */
 static bool
 lc_watch__collect_one (LcWatch *watch,
                        LcLease *lease,
@@ -349,7 +352,7 @@
     ((LcLease *)value)->reported = 0;
 }
 
-/* A node doesn't know that it is behind; the one above it does. */
+/* A member doesn't know that it is behind, as it lacks the newest revision; its watcher has it. */
 static void
 lc_watch__fold_one (const LcLease *lease, LcRevision newest, LcFold *fold)
 {
--- a/src/core/member/lc-watch.h
+++ b/src/core/member/lc-watch.h
@@ -1,17 +1,17 @@
-/* lc-watch: what a watcher reports of the members whose leases it holds.
+/* lc-watch: a lease-based failure detector, which reports the members that it watches.
  *
  * WHAT IT IS
- *   Compares each lease with the view and says which transition is missing in the view.  A report
- *   is repeated until the view shows it, and nothing is reported that the view shows already: so a
- *   lost report, a repeated one, two watchers of one member, a restarted watcher and a view that
- * was wrong are all the same case.  A lease that expires is first suspect: the other watchers are
- *   asked, and only what nobody holds is reported lost.
+ *   Compares each lease with the view and finds the transition that the view lacks.  A report is
+ *   repeated until the view shows it, and nothing is reported that the view shows already, so that
+ *   lost and repeated reports, two watchers of one member, a restarted watcher and a wrong view
+ *   need no special cases.  A lease that expires is first suspect: the other watchers are asked,
+ *   and only a member that none of them holds is reported lost.
  *
  * HOW TO USE IT
  *     lc_watch_init (&watch, &desc);
  *     lc_watch_announce (&watch, &change, now_us);
  *     lc_watch_renew (&watch, name, instance, phase, is_ramped, &fold, now_us);
- *     n = lc_watch_expire (&watch, now_us, suspects, max);      ask the other watchers about these
+ *     n = lc_watch_expire (&watch, now_us, suspects, max);      ask the other watchers for these
  *     lc_watch_vouch (&watch, name, instance);                  one of them holds it
  *     lc_watch_collect (&watch, &view, now_us, report, user);   what to send upstream now
  *     lc_watch_finish (&watch);
@@ -33,7 +33,7 @@
   typedef struct
   {
     uint32_t lease_ms;   /* 0: 3000 */
-    uint32_t suspect_ms; /* wait for the other watchers; 0: 400; UINT32_MAX: don't ask */
+    uint32_t suspect_ms; /* wait for the other watchers' answers; 0: 400; UINT32_MAX: don't ask */
     uint32_t resend_ms;  /* 0: 1000 */
     LcFlapDesc flap;
   } LcWatchDesc;
@@ -48,7 +48,7 @@
     LcRevision collected_revision;
     bool is_dirty;
     int64_t collected_us;
-    uint64_t lost_total; /* leases that nobody holds any more */
+    uint64_t lost_total; /* leases that expired and that no watcher holds */
     uint64_t reports_total;
   } LcWatch;
 
@@ -57,7 +57,7 @@
   void lc_watch_init (LcWatch *watch, const LcWatchDesc *desc);
   void lc_watch_finish (LcWatch *watch);
   void lc_watch_announce (LcWatch *watch, const LcMemberChange *announced, int64_t now_us);
-  /* False when the lease is not known: the member must announce itself again. */
+  /* False when there is no such lease: the member must announce itself again. */
   bool lc_watch_renew (LcWatch *watch,
                        const char *name,
                        LcInstance instance,
@@ -65,23 +65,23 @@
                        bool is_ramped,
                        const LcFold *fold,
                        int64_t now_us);
-  /* Takes a member of the view that should have a lease here, unless it has one.  It expires like
-   * any other unless the member speaks or another watcher vouches for it. */
+  /* Creates a missing lease for a member of the view.  It expires like any other unless the member
+   * announces itself or another watcher confirms that it holds it. */
   void lc_watch_seed (LcWatch *watch, const LcMemberChange *announced, int64_t now_us);
   /* Moves expired leases to suspect and fills `out` with at most `max` new suspects. */
   size_t lc_watch_expire (LcWatch *watch, int64_t now_us, LcLease **out, size_t max);
-  /* Another watcher holds it: this one forgets it. */
+  /* Drops an expired lease that another watcher holds. */
   void lc_watch_vouch (LcWatch *watch, const char *name, LcInstance instance);
-  /* Whether this watcher holds a live lease of it, from the member itself. */
+  /* Whether this watcher holds a live lease that the member itself announced. */
   bool lc_watch_holds (const LcWatch *watch, const char *name, LcInstance instance);
   void lc_watch_collect (
       LcWatch *watch, const LcView *view, int64_t now_us, LcWatchReport report, void *user);
-  /* What was reported went nowhere: each transition that the view lacks is due at once. */
+  /* Makes each transition that the view lacks due at once, after earlier reports got lost. */
   void lc_watch_report_again (LcWatch *watch);
-  /* Folds the acknowledgements of every live lease; `newest` is this node's revision. */
+  /* Folds the acknowledgements of every live lease; `newest` is this process's revision. */
   void lc_watch_fold (const LcWatch *watch, LcRevision newest, LcFold *fold);
 
-  /* The transition that the view lacks of this lease; 0: none.  Pure; used by collect. */
+  /* The transition of this lease that the view lacks; 0: none. */
   LcMemberChangeKind lc_watch_missing (const LcLease *lease, const LcView *view);
 
 #ifdef __cplusplus
