--- a/src/core/lc-error.h
+++ b/src/core/lc-error.h
@@ -1,9 +1,8 @@
-/* lc-error: typed errors whose messages name the remedy.
+/* lc-error: error codes with a message and a remedy.
  *
  * WHAT IT IS
  *   Every function that can fail returns 0 or a negative LcErrorCode and, where the caller passes
- *   one, fills an LcError with a sentence that says what is wrong and a sentence that says what to
- *   do about it.
+ *   an LcError, fills it with a sentence on what is wrong and a sentence on how to remedy it.
  *
  * HOW TO USE IT
  *     LcError error = { 0 };
@@ -14,8 +13,8 @@
  *   LcError is a plain value; it owns no memory.
  *
  * LIMITS
- *   Messages longer than the fixed arrays are cut at the end, never split in the middle of a
- *   format.  A NULL error argument is allowed everywhere.
+ *   Messages longer than the fixed arrays are truncated.  A NULL error argument is allowed
+ *   everywhere.
  */
 #ifndef LC_ERROR_H
 #define LC_ERROR_H
@@ -32,19 +31,19 @@
   {
     LC_OK = 0,
     LC_ERR_INVALID = -1,      /* an argument or a setting is outside its documented range */
-    LC_ERR_NOT_FOUND = -2,    /* the named thing does not exist */
-    LC_ERR_EXISTS = -3,       /* the thing exists already */
+    LC_ERR_NOT_FOUND = -2,    /* the named object does not exist */
+    LC_ERR_EXISTS = -3,       /* the object exists already */
     LC_ERR_CONFLICT = -4,     /* the base revision is no longer the newest one */
-    LC_ERR_FULL = -5,         /* a bound was reached */
+    LC_ERR_FULL = -5,         /* a limit was reached */
     LC_ERR_IO = -6,           /* the operating system refused a call */
     LC_ERR_CORRUPT = -7,      /* stored or received bytes fail their check */
-    LC_ERR_VERSION = -8,      /* the peer or file speaks an unknown version */
-    LC_ERR_TRUNCATED = -9,    /* fewer bytes than the length field says */
+    LC_ERR_VERSION = -8,      /* the peer or file has an unknown version */
+    LC_ERR_TRUNCATED = -9,    /* fewer bytes than the length field */
     LC_ERR_TIMEOUT = -10,     /* the deadline passed */
-    LC_ERR_NOT_LEADER = -11,  /* this replica can't take the request; another one can */
+    LC_ERR_NOT_LEADER = -11,  /* this replica can't accept the request; another one can */
     LC_ERR_UNAVAILABLE = -12, /* nothing can serve the request now */
     LC_ERR_STALE = -13,       /* the message names an older revision, term or instance */
-    LC_ERR_REFUSED = -14,     /* policy refuses the request */
+    LC_ERR_REFUSED = -14,     /* a policy refuses the request */
   } LcErrorCode;
 
   enum
--- a/src/core/lc-homes.c
+++ b/src/core/lc-homes.c
@@ -10,13 +10,14 @@
   size_t len = strlen (region);
 
   if (len == 0 || len >= LC_NAME_MAX || strchr (region, ',') != NULL)
-    return lc_error_set (error, LC_ERR_INVALID, "name the regions as the data centres name theirs",
-                         "a home is no region's name of 1 to %d bytes", LC_NAME_MAX - 1);
+    return lc_error_set (
+        error, LC_ERR_INVALID, "use a region name from the settings of the data centres",
+        "a home region is not a name of 1 to %d bytes without commas", LC_NAME_MAX - 1);
   if (lc_homes_has (homes, region))
     return 0;
   if (used + (used > 0) + len >= LC_HOMES_BYTES)
-    return lc_error_set (error, LC_ERR_INVALID, "name fewer regions, or leave homes out",
-                         "the homes of an address take more than %d bytes", LC_HOMES_BYTES - 1);
+    return lc_error_set (error, LC_ERR_INVALID, "list fewer regions, or omit homes",
+                         "the home regions of an address exceed %d bytes", LC_HOMES_BYTES - 1);
   if (used > 0)
     homes[used++] = ',';
   memcpy (&homes[used], region, len + 1);
--- a/src/core/lc-homes.h
+++ b/src/core/lc-homes.h
@@ -1,21 +1,20 @@
-/* lc-homes: the regions that the flows of an address are kept to.
+/* lc-homes: the home regions of an address, to which its new flows are restricted.
  *
  * WHAT IT IS
  *   An address may have homes: the names of the regions whose backend servers its new flows may
- *   reach.  They travel as text, the names joined by commas; an empty text allows every region.
- *   Where endpoints are chosen, a mask stands for them: one bit for each region of the view at
- * hand.
+ *   reach.  They are sent and stored as text, names joined by commas; an empty text allows every
+ *   region.  Where endpoints are chosen, a mask is used instead, with one bit per region of the
+ *   view.
  *
  * HOW TO USE IT
  *     char homes[LC_HOMES_BYTES] = "";
- *     r = lc_homes_add (homes, "southeast");
+ *     r = lc_homes_add (homes, "southeast", &error);
  *     if (lc_homes_has (homes, dc->region)) ...
  *     if (lc_region_is_in (lc_view_home_regions (view, homes), lc_view_region (view, dc->id))) ...
  *
  * LIMITS
- *   LC_HOMES_BYTES for the names of one address; a view tells LC_REGIONS_MAX regions apart.  A data
- *   centre whose region is not known, or beyond that number, is no home of an address that has
- * some.
+ *   LC_HOMES_BYTES for the names of one address, LC_REGIONS_MAX regions per view.  A data centre
+ *   whose region is unknown or beyond that number is no home of an address that has homes.
  */
 #ifndef LC_HOMES_H
 #define LC_HOMES_H
@@ -33,18 +32,18 @@
 
   enum
   {
-    LC_HOMES_BYTES = 96, /* with its final NUL */
+    LC_HOMES_BYTES = 96, /* with the final NUL */
     LC_REGIONS_MAX = 64,
     LC_REGION_NONE = UINT8_MAX,
   };
 
-  /* Bit i: the region whose lc_view_region is i.  Masks of two views don't compare. */
+  /* Bit i: the region whose lc_view_region is i.  Masks of different views can't be compared. */
   typedef uint64_t LcRegionMask;
 
 #define LC_REGIONS_ALL UINT64_MAX
 
-  /* 0, also where the region is there already; LC_ERR_INVALID when it is empty, has a comma, or
-   * leaves no room. */
+  /* 0, also when the region is listed already; LC_ERR_INVALID when it is empty, has a comma, or
+   * does not fit. */
   int lc_homes_add (char homes[LC_HOMES_BYTES], const char *region, LcError *error);
   bool lc_homes_has (const char *homes, const char *region);
 
--- a/src/core/lc-types.h
+++ b/src/core/lc-types.h
@@ -1,12 +1,12 @@
-/* lc-types: identifiers and bounds that every module shares.
+/* lc-types: identifiers and limits that every module shares.
  *
  * WHAT IT IS
- *   Fixed-width identifiers, enumerations with wire values, and the bounds of names and lists.
+ *   Fixed-width identifiers, enumerations with wire values, and the limits of names and lists.
  *   Values of enumerations are sent between processes and written to disk: add new ones at the
  *   end, never renumber.
  *
  * UNITS
- *   Times are microseconds (suffix _us) of a monotonic clock unless a name says `wall`.
+ *   Times are microseconds (suffix _us) of a monotonic clock unless a name has `wall`.
  *   IPv4 addresses and ports are in host byte order.
  */
 #ifndef LC_TYPES_H
@@ -21,19 +21,19 @@
 {
 #endif
 
-  typedef uint32_t LcServiceId;  /* given by control; 0 is "none" */
-  typedef uint32_t LcEndpointId; /* given by control, stable for a name; 0 is "none" */
-  typedef uint32_t LcBalancerId; /* given by control, stable for a name; 0 is "none" */
-  typedef uint16_t LcDcId;       /* data centre, given by control; 0 is "none" */
-  typedef uint64_t LcInstance;   /* random per start of a process; 0 is "none" */
+  typedef uint32_t LcServiceId;  /* assigned by control; 0 is "none" */
+  typedef uint32_t LcEndpointId; /* assigned by control, stable for a name; 0 is "none" */
+  typedef uint32_t LcBalancerId; /* assigned by control, stable for a name; 0 is "none" */
+  typedef uint16_t LcDcId;       /* data centre, assigned by control; 0 is "none" */
+  typedef uint64_t LcInstance;   /* random per process start; 0 is "none" */
   typedef uint64_t LcRevision;   /* index in the replicated log; 0 is "nothing yet" */
 
   enum
   {
-    LC_NAME_MAX = 48,        /* bytes of a name with its final NUL */
-    LC_PATH_MAX = 96,        /* bytes of a route's host or path prefix with its final NUL */
+    LC_NAME_MAX = 48,        /* bytes of a name with the final NUL */
+    LC_PATH_MAX = 96,        /* bytes of a route's host or path prefix with the final NUL */
     LC_CANDIDATES = 4,       /* endpoints in a packet's candidate list */
-    LC_CONTROL_VMS_MAX = 20, /* control VMs that a node may know */
+    LC_CONTROL_VMS_MAX = 20, /* control VMs in a process's configuration or cluster */
   };
 
 #define LC_US_PER_MS INT64_C (1000)
@@ -51,15 +51,15 @@
   {
     LC_ENDPOINT_NONE = 0,
     LC_ENDPOINT_JOINING = 1,  /* announced, ramping up */
-    LC_ENDPOINT_ACTIVE = 2,   /* takes new work */
-    LC_ENDPOINT_DRAINING = 3, /* takes no new work, keeps what it owns */
-    LC_ENDPOINT_LOST = 4,     /* lease expired; may come back with the same instance */
+    LC_ENDPOINT_ACTIVE = 2,   /* accepts new work */
+    LC_ENDPOINT_DRAINING = 3, /* accepts no new work, keeps its flows and requests */
+    LC_ENDPOINT_LOST = 4,     /* lease expired; may return with the same instance */
   } LcEndpointState;
 
   typedef enum
   {
     LC_DC_ACTIVE = 1,
-    LC_DC_RETIRING = 2, /* its endpoints drain; its balancers keep steering */
+    LC_DC_RETIRING = 2, /* its endpoints drain; its balancers keep forwarding */
   } LcDcState;
 
   typedef enum
--- a/src/core/lc-view-look.c
+++ b/src/core/lc-view-look.c
@@ -88,11 +88,11 @@
   return NULL;
 }
 
-/* The place of the first data centre of the same region stands for the region. */
+/* A region's number is the index of the first data centre in it. */
 static uint8_t
-lc_view__region_at (const LcView *view, guint place)
+lc_view__region_at (const LcView *view, guint index)
 {
-  const char *region = g_array_index (view->dcs, LcDataCentre, place).region;
+  const char *region = g_array_index (view->dcs, LcDataCentre, index).region;
   guint i = 0;
 
   if (region[0] == '\0')
@@ -193,8 +193,8 @@
   return prefix_len <= path_len && memcmp (route->path_prefix, path, prefix_len) == 0;
 }
 
-/* The best of the routes indexed under one host; the longest path prefix wins, then the lowest id,
- * so that every node chooses alike whatever order the index has. */
+/* The best matching route indexed under one host: the longest path prefix, then the lowest id, so
+ * that every process chooses the same whatever the order of its index. */
 static const LcRoute *
 lc_view__best_route (const LcView *view,
                      gpointer host_key,
@@ -221,7 +221,7 @@
   return best;
 }
 
-/* A named host goes before any path of the "any host" routes. */
+/* A route of the named host precedes all "any host" routes. */
 const LcRoute *
 lc_view_route (
     const LcView *view, const char *host, size_t host_len, const char *path, size_t path_len)
--- a/src/core/lc-view-snapshot.c
+++ b/src/core/lc-view-snapshot.c
@@ -1,4 +1,4 @@
-/* The part of lc-view that reads a whole view: snapshots and its size.  See lc-view.h. */
+/* Snapshots and memory size of a view; see lc-view.h. */
 #include "lc-view.h"
 
 #include <string.h>
--- a/src/core/lc-view.c
+++ b/src/core/lc-view.c
@@ -17,16 +17,16 @@
   return ((uint64_t)ipv4 << 32) | ((uint64_t)port << 8) | protocol;
 }
 
-/* GLib's own hash of a 64-bit key is its low half, which is the port and protocol here: all
- * addresses of one port would share a bucket. */
+/* GLib's hash of a 64-bit key is its low half, here the port and protocol: all addresses of one
+ * port would share a bucket. */
 static guint
 lc_view__address_hash (gconstpointer key)
 {
   return (guint)XXH3_64bits (key, sizeof (uint64_t));
 }
 
-/* Names are indexed by their hash alone: the look-up compares the name it finds, and two names of
- * one hash (never seen in 64 bits) cost a scan. */
+/* Names are indexed by their hash alone: a look-up compares the name that it finds, and two names
+ * of one 64-bit hash (never observed) cost a scan. */
 gpointer
 lc_view__name_key (const char *name)
 {
@@ -50,7 +50,7 @@
   g_array_free (data, TRUE);
 }
 
-/* Drops a name from an index, unless it belongs to somebody else by now. */
+/* Removes a name from an index, unless it now maps to another id. */
 static void
 lc_view__forget_name (GHashTable *names, const char *name, uint32_t id)
 {
@@ -125,7 +125,7 @@
   lc_view_init (view);
 }
 
-/* === private: candidate sets and their history ============================================== */
+/* === private: present and former candidate sets ============================================= */
 
 uint32_t
 lc_view__lower_bound (const LcEndpoint *endpoints, uint32_t n, LcEndpointId id)
@@ -156,11 +156,10 @@
   return n;
 }
 
-/* Remembers the candidate set in force until `revision`.  Several changes at one revision keep
- * only the set before the first of them.  Where backend servers return what they do not hold, flows
- * are found without former sets (lc-flow-return.h), and none is kept: each is a copy of the
- * members, and a snapshot of 163 endpoints that were announced and started anew one by one was
- * 1.76 MB on the wire with them and is 5.7 KB without. */
+/* Keeps the candidate set in force until `revision`; of several changes at one revision, only the
+ * set before the first.  A service with returns_packets keeps none, as its flows are found without
+ * them (lc-flow-return.h).  Each set is a copy of the members: a snapshot of 163 endpoints that
+ * were announced and restarted one by one is 1.76 MB on the wire with them and 5.7 KB without. */
 static void
 lc_view__push_former (LcService *s, LcRevision revision)
 {
@@ -188,8 +187,8 @@
     }
 }
 
-/* Whether replacing `before` by `after` (either may be NULL) changes who is a candidate, where it
- * is reached, or how much it takes. */
+/* Whether replacing `before` by `after` (either may be NULL) changes which endpoints are
+ * candidates, or the instance, address, weight or data centre of one. */
 static bool
 lc_view__changes_candidates (const LcEndpoint *before, const LcEndpoint *after)
 {
@@ -220,7 +219,7 @@
   s->membership_revision = revision;
 }
 
-/* === private: one function an operation ===================================================== */
+/* === private: one function per operation ==================================================== */
 
 static void
 lc_view__put_dc (LcView *view, const LcDataCentre *dc)
@@ -290,7 +289,7 @@
   g_array_remove_index (view->balancers, lc_view__balancer_at (view, id));
 }
 
-/* Takes the settings of a service and leaves its membership as it is. */
+/* Stores the settings of a service and keeps its membership. */
 static void
 lc_view__put_service (LcView *view, const LcService *service)
 {
@@ -559,12 +558,12 @@
 
   if (s != NULL)
     {
-      /* The endpoints loaded just before pushed their own history; the snapshot brings the real
-       * one after this operation. */
+      /* Drops the former sets that loading the endpoints has created; those of the snapshot follow
+       * this operation. */
       lc_view__settle_service (s, UINT64_MAX);
       g_hash_table_remove (view->unsettled, s);
       s->membership_revision = service->membership_revision;
-      if (service->roster_revision != 0) /* an older program does not tell it */
+      if (service->roster_revision != 0) /* older versions do not send it */
         s->roster_revision = service->roster_revision;
     }
 }
--- a/src/core/lc-view.h
+++ b/src/core/lc-view.h
@@ -1,11 +1,11 @@
-/* lc-view: one node's copy of the configuration and membership.
+/* lc-view: a replica of the committed configuration and membership.
  *
  * WHAT IT IS
- *   The view is what control has committed: data centres, balancers, services with their
+ *   The view holds what control has committed: data centres, balancers, services with their
  *   endpoints, addresses (where packets arrive) and routes (where requests arrive).  It is changed
- *   only by operations (LcViewOp), each carrying the revision (log index) that committed it.  Every
- *   replica that applies the same operations holds the same view: control, balancers and agents
- *   all run this module.
+ *   only by operations (LcViewOp), each with the revision (log index) that committed it.  Every
+ *   replica that applies the same operations holds the same view; control, balancers and agents all
+ *   use this module.
  *
  * HOW TO USE IT
  *     LcView view;
@@ -20,14 +20,14 @@
  *   - Revisions never go back: an operation whose revision is lower than the view's is refused
  *     with LC_ERR_STALE and changes nothing.  Several operations may share one revision.
  *   - A change of a service's candidate set (join, drain, loss, change of weight) sets
- *     service.membership_revision and pushes the set before it into service.former, until a
+ *     service.membership_revision and pushes the set before it into service.former, until an
  *     LC_VIEW_SETTLED operation with settled_revision >= LcFormerSet.until_revision drops it.  A
  *     service with returns_packets has no former sets.
- *   - Candidates are the endpoints in state JOINING or ACTIVE.
+ *   - Candidates are the endpoints in state JOINING or ACTIVE with a weight above 0.
  *
  * LIFETIME
  *   The view owns its arrays (GLib heap).  Pointers returned by look-ups are valid until the next
- *   apply.  A thread that needs a view of its own keeps its own copy and is sent the operations.
+ *   apply.  Views are not shared between threads: each keeps its own and applies the operations.
  *
  * LIMITS
  *   Look-ups by id and by name are O(1) for services and endpoints and O(log n) for balancers and
@@ -51,10 +51,10 @@
   typedef struct
   {
     LcDcId id;
-    uint8_t state;     /* LcDcState */
-    bool is_evacuated; /* its endpoints get no new work: core/control/lc-evacuation.h */
-    LcRevision evacuation_revision; /* that began or ended its evacuation last; 0: none did */
-    int64_t evacuation_wall_us;     /* when that was ordered, at the VM that took the order */
+    uint8_t state;                  /* LcDcState */
+    bool is_evacuated;              /* its endpoints get no new work, see lc-evacuation.h */
+    LcRevision evacuation_revision; /* last start or end of an evacuation; 0: none */
+    int64_t evacuation_wall_us;     /* time of that order, at the VM that accepted it */
     char name[LC_NAME_MAX];
     char region[LC_NAME_MAX];
   } LcDataCentre;
@@ -68,7 +68,7 @@
     uint32_t ipv4;
     uint16_t peer_port; /* TCP frames */
     uint16_t flow_port; /* UDP envelopes from the fabric */
-    uint32_t link_kbps; /* of its VM, as its settings say; 0: not said */
+    uint32_t link_kbps; /* of its VM, from its settings; 0: not set */
     char name[LC_NAME_MAX];
   } LcBalancer;
 
@@ -76,20 +76,20 @@
   {
     LcEndpointId id;
     LcServiceId service_id;
-    LcInstance instance; /* an agent drops what is not for its own instance */
+    LcInstance instance; /* an agent drops messages to another instance */
     LcDcId dc;
     uint8_t state;             /* LcEndpointState */
-    uint8_t slots;             /* requests run at once */
-    uint16_t weight_percent;   /* capacity; 100 is nominal; 0 takes no new work */
+    uint8_t slots;             /* concurrent requests */
+    uint16_t weight_percent;   /* capacity; 100 is nominal; 0: no new work */
     uint16_t peer_port;        /* TCP frames of its agent */
     uint16_t flow_port;        /* UDP envelopes of its agent */
     uint32_t ipv4;             /* of its agent */
-    uint32_t connection_limit; /* open flows at most */
+    uint32_t connection_limit; /* maximum of open flows */
     LcRevision joined_revision;
     char name[LC_NAME_MAX];
   } LcEndpoint;
 
-  /* A service's candidate set as it was from `since_revision` until `until_revision`. */
+  /* A service's candidate set from `since_revision` until `until_revision`. */
   typedef struct
   {
     LcRevision since_revision; /* the service's membership_revision while it was in force */
@@ -103,15 +103,14 @@
     LcServiceId id;
     char name[LC_NAME_MAX];
     LcRevision membership_revision; /* of the last change of the candidate set */
-    LcRevision roster_revision;  /* when an endpoint or an address of one came that was not known */
-    uint32_t request_timeout_ms; /* 0: 30 000 */
-    uint32_t caller_limit;       /* requests a caller may have in flight; 0: 64 */
-    uint32_t retry_percent;      /* retry budget as a share of requests; 0: 10 */
-    uint32_t objective_ppm;      /* share of good requests and flows; 0: 999 000 */
-    uint32_t objective_latency_ms; /* bound of a good request; 0: 500 */
-    uint32_t cold_rate_mrps; /* thousandths of a request a second that a cold endpoint bears; 0: as
-                                many as it has slots for */
-    bool returns_packets;    /* its backend servers return what they do not hold: no former sets */
+    LcRevision roster_revision;     /* last new endpoint, or new address of one */
+    uint32_t request_timeout_ms;    /* 0: 30 000 */
+    uint32_t caller_limit;          /* requests in flight per caller; 0: 64 */
+    uint32_t retry_percent;         /* retry budget as a share of requests; 0: 10 */
+    uint32_t objective_ppm;         /* objective: share of good requests and flows; 0: 999 000 */
+    uint32_t objective_latency_ms;  /* maximum latency of a good request; 0: 500 */
+    uint32_t cold_rate_mrps; /* a cold endpoint's maximum, in 1/1000 request/s; 0: by its slots */
+    bool returns_packets;    /* backend servers return packets of flows they lack: no former sets */
 
     LcEndpoint *endpoints; /* owned; every state, ordered by id */
     uint32_t n_endpoints;
@@ -126,10 +125,11 @@
     uint16_t port;
     uint8_t protocol; /* LcProtocol */
     LcServiceId service_id;
-    char homes[LC_HOMES_BYTES]; /* regions that its new flows are kept to; "": every one */
+    char homes[LC_HOMES_BYTES]; /* regions to which new flows are restricted; "": all */
   } LcAddress;
 
-  /* Where requests arrive: the longest path prefix of a matching host wins; host "" is any. */
+  /* Where requests arrive.  A matching host wins over host "" (any), then the longest path prefix
+   * wins. */
   typedef struct
   {
     uint32_t id;
@@ -143,7 +143,7 @@
     LC_VIEW_DC = 1,
     LC_VIEW_BALANCER = 2,
     LC_VIEW_BALANCER_REMOVED = 3, /* uses balancer.id */
-    LC_VIEW_SERVICE = 4,          /* id, name and limits; endpoints and former are ignored */
+    LC_VIEW_SERVICE = 4,          /* uses id, name and settings, not endpoints or former */
     LC_VIEW_SERVICE_REMOVED = 5,  /* uses service.id; its endpoints, addresses and routes go too */
     LC_VIEW_ENDPOINT = 6,
     LC_VIEW_ENDPOINT_REMOVED = 7, /* uses endpoint.id and endpoint.service_id */
@@ -153,10 +153,10 @@
     LC_VIEW_ROUTE_REMOVED = 11,  /* uses route.id */
     LC_VIEW_SETTLED = 12,        /* uses settled_revision */
     LC_VIEW_FORMER = 13,         /* in snapshots only: uses former */
-    LC_VIEW_SERVICE_MEMBERS = 14 /* in snapshots only: service.id and the members' revisions */
+    LC_VIEW_SERVICE_MEMBERS = 14 /* in snapshots only: service.id, membership and roster revision */
   } LcViewOpKind;
 
-  /* One committed change.  A tagged union: `kind` says which member counts. */
+  /* One committed change, a tagged union: `kind` selects the member. */
   typedef struct
   {
     LcRevision revision;
@@ -175,7 +175,7 @@
         LcServiceId service_id;
         LcRevision since_revision;
         LcRevision until_revision;
-        LcEndpoint endpoint; /* one operation an endpoint of the former set */
+        LcEndpoint endpoint; /* one operation per endpoint of the former set; id 0: it is empty */
       } former;
     };
   } LcViewOp;
@@ -200,14 +200,14 @@
   void lc_view_init (LcView *view);
   void lc_view_finish (LcView *view);
 
-  /* Forgets everything, for instance before a snapshot is applied. */
+  /* Empties the view, for instance before a snapshot is applied. */
   void lc_view_clear (LcView *view);
 
   /* Applies one operation.  Returns 0, LC_ERR_STALE for an older revision, LC_ERR_NOT_FOUND when an
    * endpoint names an unknown service, LC_ERR_INVALID for an unknown kind. */
   int lc_view_apply (LcView *view, const LcViewOp *op, LcError *error);
 
-  /* Says that nothing else changed up to `revision`; never goes back. */
+  /* Raises the view's revision, when no operation is missing up to `revision`; never lowers it. */
   void lc_view_advance (LcView *view, LcRevision revision);
 
   /* Look-ups: NULL when there is none. */
@@ -217,11 +217,11 @@
   const LcEndpoint *lc_view_endpoint_by_name (const LcView *view, const char *name);
   const LcDataCentre *lc_view_dc (const LcView *view, LcDcId id);
   const LcDataCentre *lc_view_dc_by_name (const LcView *view, const char *name);
-  /* Which of the view's regions the data centre is in; LC_REGION_NONE: not known. */
+  /* Number of the data centre's region in this view; LC_REGION_NONE: unknown. */
   uint8_t lc_view_region (const LcView *view, LcDcId id);
-  /* The regions of the view that these homes (lc-homes.h) name; LC_REGIONS_ALL: there are none. */
+  /* Mask of the view's regions among `homes` (lc-homes.h); LC_REGIONS_ALL when `homes` is empty. */
   LcRegionMask lc_view_home_regions (const LcView *view, const char *homes);
-  /* Whether the data centre is evacuated; one that is not known is not. */
+  /* Whether the data centre is evacuated; false when it is unknown. */
   bool lc_view_is_evacuated (const LcView *view, LcDcId id);
   const LcBalancer *lc_view_balancer (const LcView *view, LcBalancerId id);
   const LcBalancer *lc_view_balancer_by_name (const LcView *view, const char *name);
@@ -232,7 +232,7 @@
   const LcRoute *lc_view_route (
       const LcView *view, const char *host, size_t host_len, const char *path, size_t path_len);
 
-  /* Whether an endpoint takes new work. */
+  /* Whether an endpoint accepts new work. */
   static inline bool
   lc_endpoint_is_candidate (const LcEndpoint *e)
   {
@@ -240,17 +240,17 @@
            e->weight_percent > 0;
   }
 
-  /* Calls `each` for operations that rebuild this view from nothing, all at view->revision. */
+  /* Calls `each` for operations that rebuild this view from an empty one, all at view->revision. */
   typedef void (*LcViewEach) (void *user, const LcViewOp *op);
   void lc_view_snapshot (const LcView *view, LcViewEach each, void *user);
-  /* Parts of it: the settled revision with the data centres, and one service with its members. */
+  /* Parts of a snapshot: settled revision and data centres; one service with its members. */
   void lc_view_snapshot_dcs (const LcView *view, LcViewEach each, void *user);
   void lc_view_snapshot_service (const LcView *view,
                                  const LcService *service,
                                  LcViewEach each,
                                  void *user);
 
-  /* Bytes of heap held, for capacity figures. */
+  /* Estimate of the heap used, for capacity figures. */
   size_t lc_view_memory_bytes (const LcView *view);
 
 #ifdef __cplusplus
