--- a/src/core/burn/lc-burn-merge.c
+++ b/src/core/burn/lc-burn-merge.c
@@ -9,7 +9,7 @@
 {
   LcBurnKey key; /* owns its strings */
   int64_t started_at_us;
-  GArray *samples; /* LcBurnSample, by uptime */
+  GArray *samples; /* LcBurnSample, ordered by uptime */
 } LcBurnSeries;
 
 struct LcBurnMerge
@@ -63,7 +63,7 @@
   return &g_array_index (series->samples, LcBurnSample, i);
 }
 
-/* The first sample whose uptime is above `uptime_us`. */
+/* Index of the first sample whose uptime is above `uptime_us`. */
 static guint
 lc_burn_merge__after (const LcBurnSeries *series, int64_t uptime_us)
 {
@@ -98,8 +98,8 @@
   double values[LC_N_BURN_COUNTERS];
 } LcBurnPoint;
 
-/* The counts at a time of the reader's clock; even growth between samples.  Before the process
- * started all are zero; before its first sample they are that sample's, see RULES. */
+/* Counts at a time of the reader's clock, interpolated linearly: zero before the process started,
+ * those of the first sample between the start and that sample.  See RULES. */
 static LcBurnPoint
 lc_burn_merge__at (const LcBurnSeries *series, int64_t at_us)
 {
@@ -189,7 +189,7 @@
   return 0;
 }
 
-/* How much of the window a series that lived at its start knows of. */
+/* The part of the window that the samples of a series cover. */
 static int64_t
 lc_burn_merge__covered (const LcBurnSeries *series, int64_t from_us, int64_t to_us)
 {
@@ -232,9 +232,8 @@
 
 /* === public: imbalance ====================================================================== */
 
-/* Highest over mean of open flows a weight at one time; 0 when less than one flow is open, because
- * between samples flows are fractions, and a few milliseconds would decide the ratio of nothings.
- */
+/* Ratio of maximum to mean open flows per weight at one time.  0 when less than one flow is open:
+ * interpolated flows are fractions, and a ratio of tiny ones depends on a few milliseconds. */
 static double
 lc_burn_merge__peak_over_mean (const LcBurnMerge *merge,
                                const char *service,
--- a/src/core/burn/lc-burn-merge.h
+++ b/src/core/burn/lc-burn-merge.h
@@ -1,11 +1,11 @@
-/* lc-burn-merge: counts of many processes added up over a window, exact across restarts.
+/* lc-burn-merge: sums the counts of many processes over a window, exactly across restarts.
  *
  * WHAT IT IS
- *   A series is one start of one process (its instance number) and one service.  Inside a series
- *   counts only grow, so the growth over a window is a difference of two samples, and the total is
- *   the sum over series.  A restart begins another series: no difference is ever taken across it,
- *   so no rate is negative and nothing is counted twice.  Samples may come in any order and more
- *   than once, for instance from two reports that overlap.
+ *   A series is one start of one process (its instance number) and one service.  Counts of a series
+ *   only grow, so the growth over a window is the difference of two samples, and the total is the
+ *   sum over series.  A restart begins another series: no difference is taken across it, so no rate
+ *   is negative and nothing is counted twice.  Samples may come in any order and more than once,
+ *   for instance from two overlapping reports.
  *
  * HOW TO USE IT
  *     LcBurnMerge *merge = lc_burn_merge_new ();
@@ -14,16 +14,17 @@
  *     lc_burn_merge_free (merge);
  *
  * TIME
- *   Processes' clocks are not compared: a sample carries the uptime of its process, and the reader
- *   places uptime on its own clock by when it got the report (first report of a series).
+ *   Clocks of processes are not compared: a sample carries the uptime of its process, and the
+ *   reader converts uptime to its own clock by the time at which it got the first report of the
+ *   series.
  *
  * RULES
  *   - A sample whose counts are lower than an earlier one's of its series, or higher than a later
  *     one's, is refused and counted in `refused_samples`.
- *   - Between two samples growth is taken to be even: a window that starts between them gets its
- *     share.  A series that started inside the window counts from zero.
- *   - A window reaching back before the first sample of an older series covers less than its
- *     length; `covered_us` is the shortest coverage among the series that were alive at its start.
+ *   - Growth between two samples is interpolated linearly: a window that starts between them gets
+ *     its share.  A series that started inside the window counts from zero.
+ *   - A window that starts before the first sample of an older series covers less than its length;
+ *     `covered_us` is the shortest coverage among the series that ran at its start.
  */
 #ifndef LC_BURN_MERGE_H
 #define LC_BURN_MERGE_H
@@ -54,7 +55,7 @@
     uint32_t n_series;
   } LcBurnWindow;
 
-  /* Open flows a weight over the endpoints of a service: highest over mean. */
+  /* Open flows per weight of the endpoints of a service: ratio of maximum to mean. */
   typedef struct
   {
     double mean;
@@ -64,13 +65,13 @@
 
   LcBurnMerge *lc_burn_merge_new (void);
   void lc_burn_merge_free (LcBurnMerge *merge);
-  /* 0, LC_ERR_EXISTS for a sample that is known, LC_ERR_CORRUPT for one that can't be. */
+  /* 0, LC_ERR_EXISTS for a duplicate, LC_ERR_CORRUPT for a sample that contradicts the others. */
   int lc_burn_merge_add (LcBurnMerge *merge,
                          const LcBurnKey *key,
                          int64_t reported_at_us,
                          int64_t reported_uptime_us,
                          const LcBurnSample *sample);
-  /* NULL as service or data centre takes all. */
+  /* A NULL service or data centre selects all. */
   LcBurnWindow lc_burn_merge_window (const LcBurnMerge *merge,
                                      const char *service,
                                      const char *data_centre,
@@ -84,7 +85,8 @@
                                            int64_t step_us);
   uint64_t lc_burn_merge_refused_samples (const LcBurnMerge *merge);
   uint32_t lc_burn_merge_n_series (const LcBurnMerge *merge);
-  /* Each sample with its key and its place on the reader's clock; for storing a history. */
+  /* Calls `each` for every sample; started_at_us is on the reader's clock.  For storing a history.
+   * */
   typedef void (*LcBurnEach) (void *user,
                               const LcBurnKey *key,
                               int64_t started_at_us,
--- a/src/core/burn/lc-burn-report.c
+++ b/src/core/burn/lc-burn-report.c
@@ -49,7 +49,7 @@
 {
   uint32_t good_ppm = objective->good_ppm != 0 ? objective->good_ppm : LC_BURN_DEFAULT_GOOD_PPM;
 
-  /* An objective of 100% would allow nothing and divide by it: one in a million is the least. */
+  /* At least one in a million: an objective of 100% would divide by zero. */
   if (good_ppm >= LC_BURN_PPM)
     good_ppm = LC_BURN_PPM - 1;
   return (double)(LC_BURN_PPM - good_ppm) / LC_BURN_PPM;
--- a/src/core/burn/lc-burn-report.h
+++ b/src/core/burn/lc-burn-report.h
@@ -1,10 +1,10 @@
-/* lc-burn-report: burn rates over paired windows, and what is left of the error budget.
+/* lc-burn-report: burn rates over paired windows, and the error budget that is left.
  *
  * WHAT IT IS
- *   For one service (and one data centre, or all) it compares what was bad with what the objective
- *   allows, over three pairs of windows.  A pair calls for action only when its short and its long
- *   window both burn faster than the pair's limit: the long one says that it matters, the short one
- *   that it is still going on.
+ *   For one service (and one data centre, or all) it compares the bad requests and flows with what
+ *   the objective allows, over three pairs of windows.  A pair alerts only when both its short and
+ *   its long window burn faster than the pair's limit: the long one shows that it is significant,
+ *   the short one that it is still going on.
  *
  * HOW TO USE IT
  *     LcBurnObjective objective = { .service = "order-desk", .good_ppm = 999000 };
@@ -13,7 +13,7 @@
  *
  * WHAT IS BAD
  *   Requests: late, refused, unknown and failed, over all requests that ended.  Flows: broken and
- *   refused, over the flows open at the window's start and those that wanted to open since.
+ *   refused, over the flows open at the window's start and those opened or refused since.
  */
 #ifndef LC_BURN_REPORT_H
 #define LC_BURN_REPORT_H
@@ -36,7 +36,7 @@
   {
     const char *service;
     uint32_t good_ppm;   /* share that must be good; 0: 999 000 */
-    uint32_t latency_ms; /* shown only: the process that counts judges lateness */
+    uint32_t latency_ms; /* for display: the process that counts decides what is late */
   } LcBurnObjective;
 
   typedef struct
@@ -56,8 +56,8 @@
   typedef enum
   {
     LC_BURN_QUIET,
-    LC_BURN_TICKET, /* someone should look in working hours */
-    LC_BURN_PAGE,   /* someone should look now */
+    LC_BURN_TICKET, /* to be handled in working hours */
+    LC_BURN_PAGE,   /* to be handled now */
   } LcBurnUrgency;
 
   typedef struct
@@ -66,7 +66,7 @@
     double limits[LC_BURN_PAIRS];
     LcBurnUrgency request_urgency;
     LcBurnUrgency flow_urgency;
-    double request_budget_left; /* share; below 0 when overspent; 1 when nothing was asked */
+    double request_budget_left; /* share; below 0 when overspent; 1 without requests */
     double flow_budget_left;
     LcBurnImbalance imbalance; /* of the last hour */
   } LcBurnReport;
@@ -76,7 +76,7 @@
                             const LcBurnObjective *objective,
                             const char *data_centre,
                             int64_t now_us);
-  /* "quiet", "ticket", "page". */
+  /* "quiet", "ticket" or "page". */
   const char *lc_burn_urgency_name (LcBurnUrgency urgency);
 
 #ifdef __cplusplus
