--- a/tests/core/test-view.c
+++ b/tests/core/test-view.c
@@ -1,4 +1,4 @@
-/* The view: revisions never go back, history of candidate sets, snapshots rebuild the same view. */
+/* The view: order of revisions, former candidate sets, snapshots, and the choice of routes. */
 #include "core/lc-view.h"
 #include "io/lc-wire-view.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -38,6 +38,7 @@
   ck_assert_msg (lc_view_apply (view, &op, &error) == 0, "%s", error.message);
 }
 
+/* An operation older than the view is refused and changes nothing. */
 START_TEST (test_revision_never_goes_back)
 {
   LcView view;
@@ -66,9 +67,9 @@
   lc_wire_view_ops_finish (&batch);
 }
 
-/* All endpoints of a service start anew, each at a revision of its own, and nobody settles the
- * sets between: what a snapshot says of a service whose backend servers return packets must not
- * grow with the changes, or the views of all its members come late. */
+/* All endpoints of a service restart, each at its own revision, and none of these settles.  A
+ * snapshot of a service with returns_packets must not grow with the changes, or all members of the
+ * service get their views late. */
 static const struct
 {
   const char *what;
@@ -76,12 +77,12 @@
   uint32_t n_former;
   size_t min_bytes;
   size_t max_bytes;
-} STARTED_ANEW[] = {
+} RESTARTED[] = {
   { "former sets for flows that need them", false, 326, 1000000, 3000000 },
   { "packets are returned", true, 0, 4000, 8000 },
 };
 
-START_TEST (test_all_endpoints_start_anew)
+START_TEST (test_all_endpoints_restart)
 {
   enum
   {
@@ -93,7 +94,7 @@
   LcView view;
 
   lc_view_init (&view);
-  service.service.returns_packets = STARTED_ANEW[_i].returns_packets;
+  service.service.returns_packets = RESTARTED[_i].returns_packets;
   apply (&view, service);
   for (int start = 0; start < 2; start++)
     for (LcEndpointId id = 1; id <= N_ENDPOINTS; id++)
@@ -104,15 +105,15 @@
         apply (&view, op);
       }
   lc_view_snapshot (&view, count_bytes, &bytes);
-  ck_assert_uint_eq (lc_view_service (&view, 1)->n_former, STARTED_ANEW[_i].n_former);
+  ck_assert_uint_eq (lc_view_service (&view, 1)->n_former, RESTARTED[_i].n_former);
   ck_assert_uint_eq (lc_view_service (&view, 1)->membership_revision, revision);
-  ck_assert_msg (bytes >= STARTED_ANEW[_i].min_bytes && bytes <= STARTED_ANEW[_i].max_bytes,
-                 "%s: %zu bytes", STARTED_ANEW[_i].what, bytes);
+  ck_assert_msg (bytes >= RESTARTED[_i].min_bytes && bytes <= RESTARTED[_i].max_bytes,
+                 "%s: %zu bytes", RESTARTED[_i].what, bytes);
   lc_view_finish (&view);
 }
 END_TEST
 
-/* A service that is said to return packets keeps none of the sets that it had. */
+/* Setting returns_packets drops the former sets that the service had. */
 START_TEST (test_former_sets_end)
 {
   LcViewOp service = service_op (9, 1, "order-desk");
@@ -131,6 +132,7 @@
 }
 END_TEST
 
+/* Each change pushes the set before it, and settling drops only the sets up to its revision. */
 START_TEST (test_candidate_history)
 {
   LcView view;
@@ -163,6 +165,7 @@
   apply (user, *op);
 }
 
+/* A view loaded from a snapshot has the same members and former sets as its source. */
 START_TEST (test_snapshot_rebuilds_the_view)
 {
   LcView view;
@@ -195,6 +198,7 @@
 }
 END_TEST
 
+/* A named host wins over any host, then the longest path prefix wins. */
 START_TEST (test_route_longest_prefix)
 {
   static const struct
@@ -238,7 +242,7 @@
 
   tcase_add_test (tcase, test_revision_never_goes_back);
   tcase_add_test (tcase, test_candidate_history);
-  tcase_add_loop_test (tcase, test_all_endpoints_start_anew, 0, (int)G_N_ELEMENTS (STARTED_ANEW));
+  tcase_add_loop_test (tcase, test_all_endpoints_restart, 0, (int)G_N_ELEMENTS (RESTARTED));
   tcase_add_test (tcase, test_former_sets_end);
   tcase_add_test (tcase, test_snapshot_rebuilds_the_view);
   tcase_add_test (tcase, test_route_longest_prefix);
--- a/tests/member/fake-node.c
+++ b/tests/member/fake-node.c
@@ -18,7 +18,7 @@
     if (ops[i].kind == LC_VIEW_ENDPOINT && ops[i].endpoint.state == LC_ENDPOINT_DRAINING &&
         ops[i].endpoint.instance == n->member.desc.endpoint.instance)
       n->saw_draining = true;
-  /* An agent without flows is registered at once. */
+  /* An agent without flows has registered them all. */
   lc_member_set_registered (&n->member, view->revision);
 }
 
@@ -134,7 +134,7 @@
 void
 fake_node_kill (FakeNode *n)
 {
-  n->member.phase = LC_MEMBER_PHASE_LIVE; /* so that nothing is said at the end */
+  n->member.phase = LC_MEMBER_PHASE_LIVE; /* so that no planned stop is reported */
   fake_node_finish (n);
 }
 
--- a/tests/member/fake-node.h
+++ b/tests/member/fake-node.h
@@ -1,7 +1,7 @@
 /* fake-node: an agent or balancer with real membership and nothing else.
  *
- * It records the revisions that its view went through, so that a test can say that none of them
- * ever went back.  `is_frozen` drops every frame that its server receives.
+ * It counts the updates that moved its view back, so that a test can assert that there are none.
+ * `is_frozen` drops every frame that its server receives.
  */
 #ifndef FAKE_NODE_H
 #define FAKE_NODE_H
@@ -19,7 +19,7 @@
   LcRevision highest;
   uint32_t n_reverted;
   uint32_t n_resets;
-  bool saw_draining; /* its own endpoint, among the operations of its view */
+  bool saw_draining; /* its own endpoint was DRAINING in an operation of its view */
 } FakeNode;
 
 void fake_node_balancer (FakeNode *n,
@@ -37,14 +37,14 @@
                       const char *service,
                       const LcSocketAddress *balancers,
                       uint32_t n_balancers);
-/* Stops without a word: links close and nothing is said. */
+/* Closes its links without a planned stop. */
 void fake_node_kill (FakeNode *n);
-/* Stops as a planned stop does at its end. */
+/* Closes its links as at the end of a planned stop. */
 void fake_node_finish (FakeNode *n);
 LcSocketAddress fake_node_address (const FakeNode *n);
 LcRevision fake_node_revision (const FakeNode *n);
 
-/* Runs the loop until `is_done (user)` or about `limit_ms` have passed; returns is_done. */
+/* Runs the loop until `is_done (user)` or for about `limit_ms`; returns whether it is done. */
 bool fake_run_until (h2o_loop_t *loop, bool (*is_done) (void *user), void *user, uint32_t limit_ms);
 void fake_run_for (h2o_loop_t *loop, uint32_t ms);
 
--- a/tests/member/prop-member.cc
+++ b/tests/member/prop-member.cc
@@ -1,5 +1,7 @@
-/* Properties of the membership decisions over orders of events: loss, doubling, reordering,
- * reconnects, restarts of relays, sources that lag, snapshots in the middle of deltas. */
+/* Properties of the membership decisions over random sequences of events: loss, duplication and
+ * reordering of messages, reconnects, restarts of relays, sources that lag, snapshots between
+ * deltas.
+ */
 #include "core/member/lc-guard.h"
 #include "core/member/lc-op-log.h"
 #include "core/member/lc-scope.h"
@@ -66,7 +68,7 @@
   static_cast<std::multiset<std::string> *> (user)->insert (op_text (op));
 }
 
-/* What a view holds, in an order of its own. */
+/* The contents of a view, sorted. */
 std::multiset<std::string>
 contents (const LcView *view, const LcScope *scope)
 {
@@ -92,7 +94,7 @@
   std::vector<LcViewOp> ops;
 };
 
-/* A relay or control VM: a view, its history, and what it has sent to the one subscriber. */
+/* A relay or control VM: a view, its op log, and the revision sent to its only subscriber. */
 struct Source
 {
   LcView view;
@@ -122,7 +124,7 @@
       }
   }
 
-  /* The same content, with nothing remembered: what a restart leaves. */
+  /* Keeps the view and drops the op log, as a restart does. */
   void
   restart ()
   {
@@ -268,7 +270,7 @@
                                                          m.ops.size (), nullptr);
 
     RC_ASSERT (sync.view.revision >= highest);
-    RC_ASSERT (sync.failed_total == 0U); /* the sources send nothing that can fail */
+    RC_ASSERT (sync.failed_total == 0U); /* no source sends an operation that fails */
     highest = sync.view.revision;
     if (r == LC_SYNC_ASK)
       source->subscribe (lc_view_sync_from (&sync));
@@ -278,7 +280,7 @@
 struct Feed
 {
   Source first{ 0 };
-  Source second{ 1 }; /* lags: gets what the first has only now and then */
+  Source second{ 1 }; /* lags: catches up with the first at times */
   Subscriber sub;
   std::deque<Message> net;
   std::vector<std::vector<LcViewOp> > history;
@@ -356,7 +358,7 @@
           net.erase (net.begin () + (long)(random % net.size ()));
         break;
       case 8:
-        if (!net.empty ()) /* doubled */
+        if (!net.empty ()) /* duplicated */
           net.push_back (net[random % net.size ()]);
         break;
       case 9:
@@ -372,7 +374,7 @@
       }
   }
 
-  /* The network heals: what is under way arrives, then the newest source is asked. */
+  /* The network heals: messages in flight arrive, then the newest source is subscribed to. */
   void
   heal ()
   {
@@ -405,9 +407,9 @@
 
 /* === watchers =============================================================================== */
 
-/* Two watchers of one data centre, a control that takes their reports, and members that live, die,
- * freeze, move and return. */
-struct Place
+/* Two watchers of one data centre, a control that commits their reports, and members that die,
+ * are cut off, and return. */
+struct Site
 {
   static constexpr uint32_t N = 3;
   LcWatch watches[2];
@@ -417,16 +419,16 @@
   bool is_alive[N] = {};
   bool reaches[N][2]; /* whether the member's renewals reach the watcher */
   LcInstance instance[N] = {};
-  uint32_t n_lost[N] = {}; /* losses committed of the present instance */
+  uint32_t n_lost[N] = {}; /* committed losses of the present instance */
   LcInstance next_instance = 1;
   std::vector<LcMemberChange> reports;
 
-  Place ()
+  Site ()
   {
     LcWatchDesc desc{};
     LcViewOp op{};
 
-    desc.flap.suppress_at = 1000000; /* damping has a test of its own */
+    desc.flap.suppress_at = 1000000; /* off: damping has its own test */
     lc_view_init (&view);
     for (LcWatch &w : watches)
       lc_watch_init (&w, &desc);
@@ -440,7 +442,7 @@
         start (i);
       }
   }
-  ~Place ()
+  ~Site ()
   {
     for (LcWatch &w : watches)
       lc_watch_finish (&w);
@@ -482,7 +484,7 @@
   static void
   on_report (void *user, const LcMemberChange *change)
   {
-    static_cast<Place *> (user)->reports.push_back (*change);
+    static_cast<Site *> (user)->reports.push_back (*change);
   }
 
   void
@@ -516,7 +518,7 @@
     lc_view_apply (&view, &op, nullptr);
   }
 
-  /* A tenth of a second: renewals, expiry, questions between the watchers, reports. */
+  /* 100 ms: renewals, expiry, queries between the watchers, reports. */
   void
   tick (bool may_renew)
   {
@@ -556,9 +558,9 @@
 };
 
 void
-step_place (Place *p, uint8_t kind, uint16_t random)
+step_site (Site *p, uint8_t kind, uint16_t random)
 {
-  uint32_t i = random % Place::N;
+  uint32_t i = random % Site::N;
 
   switch (kind)
     {
@@ -575,14 +577,14 @@
     case 3:
       p->run (1 + (random >> 4) % 20);
       break;
-    case 4: /* reports are lost, doubled, or come late and in another order */
+    case 4: /* reports are lost, late or reordered */
       p->tick (true);
       if (random & 0x200)
         p->reports.clear ();
       if (random & 0x400)
         std::reverse (p->reports.begin (), p->reports.end ());
       break;
-    case 5: /* a watcher restarts and knows nothing */
+    case 5: /* a watcher restarts without leases */
       {
         LcWatchDesc desc = p->watches[random % 2].desc;
 
@@ -594,9 +596,9 @@
 }
 
 void
-seed_from_view (Place *p)
+seed_from_view (Site *p)
 {
-  for (uint32_t i = 0; i < Place::N; i++)
+  for (uint32_t i = 0; i < Site::N; i++)
     {
       char name[16];
       const LcEndpoint *e;
@@ -614,19 +616,19 @@
 }
 
 void
-check_place ()
+check_site ()
 {
   const Steps plan = *steps (6);
-  Place p;
+  Site p;
 
   for (const auto &step : plan)
-    step_place (&p, step.first, step.second);
+    step_site (&p, step.first, step.second);
   for (auto &r : p.reaches)
     r[0] = r[1] = true;
   p.run (10);
   seed_from_view (&p);
   p.run (100);
-  for (uint32_t i = 0; i < Place::N; i++)
+  for (uint32_t i = 0; i < Site::N; i++)
     {
       char name[16];
       const LcEndpoint *e;
@@ -644,22 +646,22 @@
     }
 }
 
-/* One death is one loss, however often the two watchers report it; and whoever still reaches one of
+/* One death is one loss, however often the two watchers report it, and a member that reaches one of
  * its watchers is never lost. */
 void
 check_lost_once ()
 {
   const auto n_before = *rc::gen::inRange<uint32_t> (1, 60);
-  const auto who = *rc::gen::inRange<uint32_t> (0, Place::N);
+  const auto who = *rc::gen::inRange<uint32_t> (0, Site::N);
   const auto cut = *rc::gen::inRange<uint32_t> (0, 2);
-  Place p;
+  Site p;
 
   p.run (n_before);
   p.is_alive[who] = false;
-  p.reaches[(who + 1) % Place::N][cut] = false;
+  p.reaches[(who + 1) % Site::N][cut] = false;
   p.run (120);
   RC_ASSERT (p.n_lost[who] == 1U);
-  for (uint32_t i = 0; i < Place::N; i++)
+  for (uint32_t i = 0; i < Site::N; i++)
     RC_ASSERT (i == who || p.n_lost[i] == 0U);
 }
 
@@ -717,7 +719,7 @@
     {
       size_t at = lc_op_log_after (&log, from);
 
-      /* Whole: every revision after `from`, each with all of its operations. */
+      /* Complete: every revision after `from`, each with all of its operations. */
       for (LcRevision r = from + 1; r <= revision; r++)
         for (uint8_t i = 0; i < sizes[r - 1]; i++, at++)
           {
@@ -731,8 +733,8 @@
   lc_op_log_finish (&log);
 }
 
-/* However the losses of one data centre arrive, no more than half of it goes before the hold has
- * ended, and the last endpoint of a service never goes. */
+/* However the losses of one data centre arrive, at most half of its endpoints are removed before
+ * the hold ends, and the last endpoint of a service never is. */
 void
 check_guard ()
 {
@@ -805,10 +807,10 @@
                    [] { check_feed (false); });
   ok &= rc::check ("a scoped view only moves forward and reaches the newest",
                    [] { check_feed (true); });
-  ok &= rc::check ("watchers bring the view to what lives", check_place);
+  ok &= rc::check ("watchers bring the view to the live members", check_site);
   ok &= rc::check ("one death is one loss", check_lost_once);
-  ok &= rc::check ("a fold says no more than its weakest member", check_fold);
-  ok &= rc::check ("a delta is whole or refused", check_op_log);
-  ok &= rc::check ("the guard holds what vanishes at once", check_guard);
+  ok &= rc::check ("a merged fold is the minimum of its members", check_fold);
+  ok &= rc::check ("a delta is complete or refused", check_op_log);
+  ok &= rc::check ("the guard holds mass losses", check_guard);
   return ok ? 0 : 1;
 }
--- a/tests/member/test-batch.c
+++ b/tests/member/test-batch.c
@@ -1,8 +1,9 @@
-/* Membership changes that come together are one entry of the log, however many they are.
+/* Membership changes that come together become one log entry, however many they are.
  *
- * A third of a fleet that is killed is reported as hundreds of losses within a second, each of
- * which was an entry, a sync and a revision of its own: at 300 machines a control VM made 11 to 15
- * syncs a second, and they grew as the fleet's power 0.8. */
+ * When a third of a fleet is killed, hundreds of losses are reported within a second.  Each used to
+ * be a log entry, a sync and a revision of its own: with 300 VMs a control VM made 11 to 15 syncs a
+ * second, growing as the power 0.8 of the fleet's size.
+ */
 #include "control/lc-distributor.h"
 #include "core/member/lc-batch-pace.h"
 #include "io/lc-member-frames.h"
@@ -13,13 +14,14 @@
 #include <check.h>
 #include <string.h>
 
-/* === when a batch goes ====================================================================== */
+/* === when a batch is due ==================================================================== */
 
 static const LcBatchPaceDesc PACE = { .first_us = 2000,
                                       .interval_us = 20000,
                                       .patience_us = 900000 };
 
-START_TEST (test_when)
+/* A change is delayed only by first_us after a pause, else until the end of the interval. */
+START_TEST (test_due_time)
 {
   static const struct
   {
@@ -27,11 +29,11 @@
     int64_t due_us;
     bool is_sent; /* at that time */
   } STEPS[] = {
-    { 1000, 3000, false },         /* the first waits for what comes in the same moment */
-    { 2500, 3000, true },          /* the second goes with it */
-    { 4000, 23000, false },        /* the next waits for the interval's end */
-    { 22999, 23000, true },        /* and so do those behind it */
-    { 500000, 502000, true },      /* after a pause nobody waits */
+    { 1000, 3000, false },         /* the first waits for simultaneous ones */
+    { 2500, 3000, true },          /* the second is sent with it */
+    { 4000, 23000, false },        /* the next waits for the end of the interval */
+    { 22999, 23000, true },        /* and so do those that follow */
+    { 500000, 502000, true },      /* after a pause there is no interval to wait for */
     { 501000000, 501002000, true } /* nor after a long one */
   };
   LcBatchPace pace;
@@ -48,7 +50,7 @@
 }
 END_TEST
 
-/* What nobody takes is tried again each interval, until its sender has repeated it. */
+/* A refused batch is retried each interval until patience_us, when its sender has repeated it. */
 START_TEST (test_failures)
 {
   static const struct
@@ -71,8 +73,8 @@
 }
 END_TEST
 
-/* Hand-overs within a second do not grow with the number of changes in it. */
-START_TEST (test_hand_overs_do_not_grow)
+/* The number of batches in a second must not grow with the number of changes in it. */
+START_TEST (test_batches_do_not_grow)
 {
   static const uint32_t CHANGES[] = { 100, 1000, 2000, 20000 };
 
@@ -95,7 +97,7 @@
           due_us = lc_batch_pace_add (&pace, now_us);
           ck_assert_int_le (due_us - now_us, PACE.interval_us);
         }
-      ck_assert_msg (n_sent <= LC_US_PER_S / PACE.interval_us + 1, "%u changes: %u hand-overs",
+      ck_assert_msg (n_sent <= LC_US_PER_S / PACE.interval_us + 1, "%u changes: %u batches",
                      CHANGES[c], n_sent);
     }
 }
@@ -110,7 +112,7 @@
   LcDistributor *distributor;
   uint32_t n_entries;
   uint32_t n_changes;
-  uint32_t n_failures; /* the next so many proposals can't be taken */
+  uint32_t n_failures; /* number of next proposals to refuse */
 } World;
 
 static int
@@ -196,16 +198,17 @@
 
 static const struct
 {
-  uint32_t n_reported; /* by different watchers, each twice */
+  uint32_t n_reported; /* endpoints, each by two watchers */
   uint32_t n_entries;
 } REPORTS[] = {
   { 1, 1 },
   { 100, 1 },
   { 200, 1 },
   { LC_MEMBER_CHANGES_MAX, 1 },
-  { 2 * LC_MEMBER_CHANGES_MAX, 2 }, /* an entry stays small */
+  { 2 * LC_MEMBER_CHANGES_MAX, 2 }, /* an entry is bounded */
 };
 
+/* Reports that come together are one entry, without duplicates. */
 START_TEST (test_reports_that_come_together_are_one_entry)
 {
   World w;
@@ -221,9 +224,9 @@
 }
 END_TEST
 
-/* Without a leader nothing is taken.  What was dropped came again with its sender's next report, 1
- * s later: after a loss of all power at 995 machines one data centre's endpoints. */
-START_TEST (test_what_was_not_taken_is_proposed_again)
+/* Without a leader every proposal is refused.  Dropped changes came again only with their sender's
+ * next report, 1 s later: after a loss of all power at 995 VMs, all endpoints of a data centre. */
+START_TEST (test_refused_changes_are_proposed_again)
 {
   World w;
 
@@ -240,7 +243,7 @@
 }
 END_TEST
 
-/* A loss that nobody took is forgotten: the endpoint may have spoken again meanwhile. */
+/* A refused loss is dropped: the endpoint may have renewed its lease meanwhile. */
 START_TEST (test_losses_are_not_kept)
 {
   World w;
@@ -253,7 +256,7 @@
   for (int i = 0; i < 5; i++)
     (void)h2o_evloop_run (w.app.loop, 20);
   ck_assert_uint_eq (w.n_entries, 0);
-  report_as (&w, 1, LC_MEMBER_ENDPOINT_LOST); /* again, by its watchers */
+  report_as (&w, 1, LC_MEMBER_ENDPOINT_LOST); /* repeated by a watcher */
   while (w.n_changes < 1)
     (void)h2o_evloop_run (w.app.loop, 100);
   ck_assert_uint_eq (w.n_entries, 1);
@@ -267,12 +270,12 @@
   Suite *suite = suite_create ("batch");
   TCase *tc = tcase_create ("batch");
 
-  tcase_add_test (tc, test_when);
+  tcase_add_test (tc, test_due_time);
   tcase_add_test (tc, test_failures);
-  tcase_add_test (tc, test_hand_overs_do_not_grow);
+  tcase_add_test (tc, test_batches_do_not_grow);
   tcase_add_loop_test (tc, test_reports_that_come_together_are_one_entry, 0,
                        (int)G_N_ELEMENTS (REPORTS));
-  tcase_add_test (tc, test_what_was_not_taken_is_proposed_again);
+  tcase_add_test (tc, test_refused_changes_are_proposed_again);
   tcase_add_test (tc, test_losses_are_not_kept);
   suite_add_tcase (suite, tc);
   return lc_fake_run (suite);
--- a/tests/member/test-flush-pace.c
+++ b/tests/member/test-flush-pace.c
@@ -1,6 +1,7 @@
-/* The load of a return after a loss of everything: hundreds of members wait for their views while
- * each commit is news for all of them.  The process must come to its other work in time, and what
- * it has encoded must stay bounded while its readers are slow. */
+/* The load when all members return after a loss of everything: hundreds wait for their views while
+ * each commit is an update for all of them.  Serving them must not delay the process's heartbeats,
+ * and the bytes encoded for slow readers must stay bounded.
+ */
 #include "core/member/lc-flush-pace.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -11,15 +12,15 @@
   const char *what;
   uint32_t n_members;
   int64_t serve_us;  /* to serve one member */
-  int64_t commit_us; /* between commits: each is news for all */
-  size_t bytes;      /* encoded for a member each time */
-  int64_t read_us;   /* until it has taken them */
+  int64_t commit_us; /* between commits: each is an update for all */
+  size_t bytes;      /* encoded per member and update */
+  int64_t read_us;   /* until the member has read them */
 } LOADS[] = {
   { "a quiet service", 20, 100, 1000000, 100, 5000 },
   { "300 members, a commit each ms", 300, 400, 1000, 25000, 20000 },
   { "1,000 members, a commit each ms", 1000, 400, 1000, 25000, 20000 },
-  { "300 members that hardly read", 300, 400, 1000, 250000, 3000000 },
-  { "1,000 members that hardly read, served in no time", 1000, 10, 1000, 250000, 9000000 },
+  { "300 slow readers", 300, 400, 1000, 250000, 3000000 },
+  { "1,000 slow readers, served at once", 1000, 10, 1000, 250000, 9000000 },
 };
 
 typedef struct
@@ -30,7 +31,7 @@
   size_t unsent;
   size_t most_unsent;
   uint32_t n_served;
-  GArray *taken; /* by when: one entry for what was encoded at a time */
+  GArray *taken; /* Taken, by time of reading */
 } Replay;
 
 typedef struct
@@ -72,6 +73,7 @@
   return lc_flush_pause_ms (r->now_us - started_us) * LC_US_PER_MS;
 }
 
+/* Bounds on the time of a flush, the share of time, the unsent bytes, and a minimum of progress. */
 START_TEST (test_return_of_all)
 {
   Replay r = { .taken = g_array_new (FALSE, FALSE, sizeof (Taken)) };
@@ -92,7 +94,7 @@
           waiting = LOADS[_i].n_members;
         }
     }
-  /* A heartbeat each 40 ms is never late by more than a fifth of that and one member's service. */
+  /* A heartbeat every 40 ms is late by a fifth of that and one member's service at most. */
   ck_assert_msg (r.longest_us <= LC_FLUSH_SLICE_US + LOADS[_i].serve_us, "%s: %ld us at a time",
                  LOADS[_i].what, (long)r.longest_us);
   ck_assert_msg (r.spent_us * 100 <= r.now_us * 52, "%s: %ld us of %ld", LOADS[_i].what,
--- a/tests/member/test-member-links.c
+++ b/tests/member/test-member-links.c
@@ -1,4 +1,6 @@
-/* Membership over real links: a fake control, real distributor, real members of both kinds. */
+/* Membership over real links: fake control VMs with the real distributor, and real members of both
+ * kinds.
+ */
 #include "fake-control.h"
 #include "fake-node.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -18,8 +20,8 @@
   N_AGENTS = 4,
   N_FIRST_BALANCERS = 12,
   N_FIRST_AGENTS = 12,
-  N_LOST_AGENTS = 32, /* ranks depend on ports: one in three is lost without the rule */
-  PATIENCE_MS = 6000, /* bounds a hang; nothing asserts on speed */
+  N_STANDBY_AGENTS = 32, /* ranks depend on ports: without the rule one in three gets no view */
+  TIMEOUT_MS = 6000,     /* bounds a hang; no test asserts on speed */
 };
 
 #define ADDRESS(host) (0x7f200000U + 0x100U + (host))
@@ -30,7 +32,7 @@
   FakeControl control[N_CONTROL]; /* the first leads */
   FakeNode balancers[N_BALANCERS];
   FakeNode agents[N_AGENTS];
-  uint32_t n_agents_expected; /* candidates */
+  uint32_t n_agents_expected; /* expected in state ACTIVE */
 } World;
 
 static World world;
@@ -108,7 +110,7 @@
   LcViewServer server;
   LcLinkServer listener;
   LcLinkClient client;
-  uint32_t n_endpoints; /* operations that the subscriber got */
+  uint32_t n_endpoints; /* endpoint operations that the subscriber got */
   bool is_subscribed;
 } Feed;
 
@@ -118,7 +120,8 @@
   LcScope scope = { .is_scoped = true, .service = "order-desk", .data_centre = "hall-atl" };
   Feed *f = user;
 
-  lc_view_server_subscribe (&f->server, link, 3, &scope); /* another upstream has shown it 3 */
+  lc_view_server_subscribe (&f->server, link, 3,
+                            &scope); /* it got revision 3 from another upstream */
   f->is_subscribed = true;
 }
 
@@ -209,7 +212,7 @@
   ck_assert_int_eq (lc_link_server_init (&f->listener, &listen, &error), 0);
   connect.port = lc_link_server_port (&f->listener);
   lc_link_client_init (&f->client, &connect);
-  ck_assert (fake_run_until (loop, feed_is_subscribed, f, PATIENCE_MS));
+  ck_assert (fake_run_until (loop, feed_is_subscribed, f, TIMEOUT_MS));
 }
 
 static void
@@ -221,7 +224,7 @@
   lc_view_finish (&f->view);
 }
 
-/* The data centre, the service and then, at revision 4, an endpoint. */
+/* Revision 1: the data centre; 2 and 3: services; 4: an endpoint. */
 static LcViewOp
 feed_op (LcRevision revision)
 {
@@ -251,8 +254,9 @@
   return op;
 }
 
-/* A subscriber that is ahead of its server gets what comes after all the same: the server has not
- * seen the operations from which the scope learns ids when it subscribes, however it gets them. */
+/* A subscriber that is ahead of its server must get later operations.  When it subscribes, the
+ * server lacks the operations that resolve the ids of its scope, and gets them by delta or
+ * snapshot. */
 START_TEST (test_subscriber_ahead_of_its_server)
 {
   static const bool by_snapshot[] = { true, false };
@@ -273,7 +277,7 @@
         lc_view_server_reset (&f.server);
       fake_run_for (loop, 20);
     }
-  ck_assert (fake_run_until (loop, feed_has_endpoint, &f, PATIENCE_MS));
+  ck_assert (fake_run_until (loop, feed_has_endpoint, &f, TIMEOUT_MS));
   feed_finish (&f);
   h2o_evloop_run (loop, 1);
 }
@@ -292,7 +296,7 @@
   return n;
 }
 
-/* Every live node is at the newest revision and the expected agents are active. */
+/* Every live member is at the newest revision and the expected agents are active. */
 static bool
 is_converged (void *user)
 {
@@ -339,7 +343,7 @@
 static void
 converge (void)
 {
-  ck_assert_msg (fake_run_until (world.loop, is_converged, &world, PATIENCE_MS),
+  ck_assert_msg (fake_run_until (world.loop, is_converged, &world, TIMEOUT_MS),
                  "not converged: %u of %u agents active, control at %u",
                  n_in_state (&world.control[0].view, LC_ENDPOINT_ACTIVE), world.n_agents_expected,
                  (unsigned)world.control[0].view.revision);
@@ -347,14 +351,14 @@
 
 /* === tests ================================================================================== */
 
+/* Members join, settle and are counted in the status, and an agent gets only its own service. */
 START_TEST (test_join_settle_and_status)
 {
   World *w = &world;
   const LcView *view;
 
-  ck_assert (fake_run_until (w->loop, is_counted, w, PATIENCE_MS));
+  ck_assert (fake_run_until (w->loop, is_counted, w, TIMEOUT_MS));
   view = lc_member_view (&w->agents[0].member);
-  /* An agent has its own service and nothing of the other one. */
   ck_assert_ptr_nonnull (lc_view_service_by_name (view, "order-desk"));
   ck_assert_ptr_null (lc_view_service_by_name (view, "ticket-vault"));
   ck_assert_uint_eq (view->balancers->len, N_BALANCERS);
@@ -363,18 +367,19 @@
 }
 END_TEST
 
+/* A killed agent is reported lost once, and a restarted one joins again. */
 START_TEST (test_killed_agent_is_lost_once_and_returns)
 {
   World *w = &world;
   uint64_t changes;
 
-  ck_assert (fake_run_until (w->loop, is_settled, w, PATIENCE_MS));
+  ck_assert (fake_run_until (w->loop, is_settled, w, TIMEOUT_MS));
   changes = w->control[0].n_changes;
   fake_node_kill (&w->agents[1]);
-  ck_assert (fake_run_until (w->loop, has_one_lost, w, PATIENCE_MS));
+  ck_assert (fake_run_until (w->loop, has_one_lost, w, TIMEOUT_MS));
   w->n_agents_expected = N_AGENTS - 1;
-  ck_assert (fake_run_until (w->loop, is_settled, w, PATIENCE_MS));
-  /* One loss and at most a few settlements: nothing is reported twice. */
+  ck_assert (fake_run_until (w->loop, is_settled, w, TIMEOUT_MS));
+  /* One loss and at most two settlements: no report was committed twice. */
   ck_assert_uint_le (w->control[0].n_changes - changes, 3);
   start_agent (w, 1);
   w->n_agents_expected = N_AGENTS;
@@ -397,6 +402,7 @@
          lc_view_endpoint_by_name (lc_member_view (&w->agents[0].member), "order-2") == NULL;
 }
 
+/* A planned stop drains the endpoint, then removes it, and never counts as a loss. */
 START_TEST (test_planned_stop)
 {
   World *w = &world;
@@ -404,12 +410,12 @@
   converge ();
   ck_assert (!lc_member_has_left (&w->agents[2].member));
   lc_member_leave (&w->agents[2].member);
-  ck_assert (fake_run_until (w->loop, has_left, w, PATIENCE_MS));
-  /* It drained first; on a slow machine it may be gone by now, with its lease. */
+  ck_assert (fake_run_until (w->loop, has_left, w, TIMEOUT_MS));
+  /* It drained first; on a slow VM its lease may have ended and it may be gone by now. */
   ck_assert (w->agents[2].saw_draining);
   fake_node_finish (&w->agents[2]);
   w->n_agents_expected = N_AGENTS - 1;
-  ck_assert (fake_run_until (w->loop, is_gone, w, PATIENCE_MS));
+  ck_assert (fake_run_until (w->loop, is_gone, w, TIMEOUT_MS));
   ck_assert_uint_eq (n_in_state (&w->control[0].view, LC_ENDPOINT_LOST), 0);
 }
 END_TEST
@@ -437,9 +443,9 @@
   g_list_free (leases);
 }
 
-/* A balancer that takes long to leave is nobody's choice any more: it takes no leases from the
- * view, which would end since nobody renews them there, and reports no living endpoint as lost. */
-START_TEST (test_leaving_balancer_watches_nobody)
+/* No agent chooses a leaving balancer.  If it seeded leases from the view they would expire without
+ * renewals, and it would report live endpoints as lost. */
+START_TEST (test_leaving_balancer_seeds_no_leases)
 {
   World *w = &world;
 
@@ -449,7 +455,7 @@
   fake_run_for (w->loop, 500);
   for (uint32_t i = 0; i < N_BALANCERS; i++)
     {
-      /* As after a restart: no lease yet, and the sweep is due. */
+      /* As after a restart: no lease yet, and seeding is due. */
       forget_leases (&w->balancers[i]);
       w->balancers[i].member.seeded_us = 0;
     }
@@ -462,7 +468,7 @@
 }
 END_TEST
 
-/* A balancer that dies, or freezes with its links up: its agents are never lost, and follow. */
+/* A balancer dies, or freezes with its links up: its agents are never lost, and get updates. */
 static void
 check_balancer_lost (bool is_killed)
 {
@@ -494,7 +500,7 @@
 }
 END_TEST
 
-/* A control VM falls silent with its links up, or lags behind the others without a sign. */
+/* A control VM stops answering with its links up, or lags behind the others undetected. */
 static void
 check_control (FakeControl *c, bool is_cut)
 {
@@ -523,17 +529,18 @@
 }
 END_TEST
 
-START_TEST (test_cut_off_node_says_how_old)
+/* Without control a member keeps its view and shows its age. */
+START_TEST (test_cut_off_member_shows_view_age)
 {
   World *w = &world;
   LcRevision before;
 
-  ck_assert (fake_run_until (w->loop, is_settled, w, PATIENCE_MS));
+  ck_assert (fake_run_until (w->loop, is_settled, w, TIMEOUT_MS));
   before = fake_node_revision (&w->agents[0]);
   w->control[0].is_cut = true;
   w->control[1].is_cut = true;
   fake_run_for (w->loop, 1200);
-  /* The view stays, and its age grows through the relay. */
+  /* The view stays, and its age grows across the balancer. */
   ck_assert_uint_eq (fake_node_revision (&w->agents[0]), before);
   ck_assert_uint_eq (n_in_state (lc_member_view (&w->agents[0].member), LC_ENDPOINT_ACTIVE),
                      N_AGENTS);
@@ -545,6 +552,7 @@
 }
 END_TEST
 
+/* Malformed frames are counted and do no harm. */
 START_TEST (test_bad_frames_are_counted)
 {
   World *w = &world;
@@ -592,7 +600,7 @@
   return n;
 }
 
-/* Relays alone are linked to control, and still every node is newest, counted and settled. */
+/* Only relays are linked to control, and every member is up to date, counted and settled. */
 static bool
 is_relayed (void *user)
 {
@@ -645,24 +653,24 @@
     }
 }
 
+/* The death of a relay promotes another, and loses no other member. */
 START_TEST (test_relays)
 {
   World *w = &world;
 
   converge ();
   start_large (w);
-  ck_assert (fake_run_until (w->loop, is_relayed, w, 2 * PATIENCE_MS));
+  ck_assert (fake_run_until (w->loop, is_relayed, w, 2 * TIMEOUT_MS));
   ck_assert_uint_eq (n_lost_balancers (&w->control[0].view), 0);
   (void)fake_control_add_service (&w->control[0], "later");
-  ck_assert (fake_run_until (w->loop, is_relayed, w, PATIENCE_MS));
+  ck_assert (fake_run_until (w->loop, is_relayed, w, TIMEOUT_MS));
   for (uint32_t i = 0; i < N_LARGE; i++)
     if (large (i)->member.slots[0].is_open)
       {
         fake_node_kill (large (i));
         break;
       }
-  /* Another takes its place, the others follow, and nobody else is lost. */
-  ck_assert (fake_run_until (w->loop, has_lost_the_relay, w, 2 * PATIENCE_MS));
+  ck_assert (fake_run_until (w->loop, has_lost_the_relay, w, 2 * TIMEOUT_MS));
   ck_assert_uint_eq (n_in_state (&w->control[0].view, LC_ENDPOINT_LOST), 0);
   for (uint32_t i = N_BALANCERS; i < N_LARGE; i++)
     {
@@ -678,23 +686,23 @@
   return n_control_links () == N_LARGE * N_CONTROL;
 }
 
-/* Relays that answer and have heard nothing of control for longer than a lease: each balancer asks
- * control itself, and goes back to its relays when they have its word again.  Relays are VMs of the
- * core where those have the widest links, and a cut of the core leaves all others able to reach the
- * part that leads. */
+/* Relays answer but have been cut from control for longer than a lease: each balancer links to
+ * control itself, and returns to its relays when they reach control again.  Where the VMs of the
+ * core network have the widest links they are the relays, and a cut of the core leaves all others
+ * able to reach the leader's side. */
 START_TEST (test_relays_without_control)
 {
   World *w = &world;
 
   converge ();
   start_large (w);
-  ck_assert (fake_run_until (w->loop, is_relayed, w, 2 * PATIENCE_MS));
+  ck_assert (fake_run_until (w->loop, is_relayed, w, 2 * TIMEOUT_MS));
   for (uint32_t k = 0; k < N_CONTROL; k++)
     w->control[k].is_cut = true;
-  ck_assert (fake_run_until (w->loop, are_all_direct, w, 2 * PATIENCE_MS));
+  ck_assert (fake_run_until (w->loop, are_all_direct, w, 2 * TIMEOUT_MS));
   for (uint32_t k = 0; k < N_CONTROL; k++)
     w->control[k].is_cut = false;
-  ck_assert (fake_run_until (w->loop, is_relayed, w, 4 * PATIENCE_MS));
+  ck_assert (fake_run_until (w->loop, is_relayed, w, 4 * TIMEOUT_MS));
   for (uint32_t i = N_BALANCERS; i < N_LARGE; i++)
     {
       ck_assert_uint_eq (large (i)->n_reverted, 0);
@@ -703,12 +711,12 @@
 }
 END_TEST
 
-/* Control VMs that stand by know no view.  Agents whose first choices are two of them must go on to
- * the seed that has one; with so many names some agents rank the two first. */
+/* Standby control VMs have no view.  Agents whose first choices are two of them must go on to the
+ * seed that has one; with this many names some agents rank the two first. */
 typedef struct
 {
   FakeControl blank[2];
-  FakeNode agents[N_LOST_AGENTS];
+  FakeNode agents[N_STANDBY_AGENTS];
 } Standby;
 
 static bool
@@ -716,13 +724,13 @@
 {
   Standby *s = user;
 
-  for (uint32_t i = 0; i < N_LOST_AGENTS; i++)
+  for (uint32_t i = 0; i < N_STANDBY_AGENTS; i++)
     if (fake_node_revision (&s->agents[i]) == 0)
       return false;
   return true;
 }
 
-/* Two blank control VMs, and agents that know them; with `has_third` also the one that leads. */
+/* Two blank control VMs, and agents seeded with them and, with `has_third`, with the leader. */
 static void
 start_standby (Standby *s, World *w, bool has_third)
 {
@@ -735,7 +743,7 @@
       seeds[i] = fake_control_address (&s->blank[i]);
     }
   seeds[2] = fake_control_address (&w->control[0]);
-  for (uint32_t i = 0; i < N_LOST_AGENTS; i++)
+  for (uint32_t i = 0; i < N_STANDBY_AGENTS; i++)
     {
       char name[LC_NAME_MAX];
 
@@ -748,65 +756,65 @@
 static void
 stop_standby (Standby *s)
 {
-  for (uint32_t i = 0; i < N_LOST_AGENTS; i++)
+  for (uint32_t i = 0; i < N_STANDBY_AGENTS; i++)
     fake_node_kill (&s->agents[i]);
   for (uint32_t i = 0; i < 2; i++)
     fake_control_finish (&s->blank[i]);
 }
 
-START_TEST (test_seeds_that_stand_by)
+START_TEST (test_standby_seeds)
 {
   static Standby s;
   World *w = &world;
   bool is_done;
 
   start_standby (&s, w, true);
-  is_done = fake_run_until (w->loop, have_views, &s, PATIENCE_MS);
+  is_done = fake_run_until (w->loop, have_views, &s, TIMEOUT_MS);
   stop_standby (&s);
   ck_assert (is_done);
 }
 END_TEST
 
-/* Whoever was greeted while there was no view hears of the first one, once. */
+/* A member that was greeted while there was no view is notified of the first one, once. */
 static void
 count_first_view (void *user, LcLink *link)
 {
-  uint32_t *n_told = user;
+  uint32_t *n_notified = user;
 
-  ck_assert (link == (LcLink *)n_told);
-  (*n_told)++;
+  ck_assert (link == (LcLink *)n_notified);
+  (*n_notified)++;
 }
 
-START_TEST (test_first_view_is_told_once)
+START_TEST (test_first_view_is_notified_once)
 {
-  uint32_t n_told = 0;
-  LcLink *link = (LcLink *)&n_told; /* only its identity counts */
+  uint32_t n_notified = 0;
+  LcLink *link = (LcLink *)&n_notified; /* compared by address, never used */
   LcView view;
   LcViewServerDesc desc = {
-    .loop = h2o_evloop_create (), .view = &view, .user = &n_told, .first_view = count_first_view
+    .loop = h2o_evloop_create (), .view = &view, .user = &n_notified, .first_view = count_first_view
   };
   LcViewServer server;
 
   lc_view_init (&view);
   lc_view_server_init (&server, &desc);
   lc_view_server_greeted (&server, link);
-  lc_view_server_reset (&server); /* still none */
-  ck_assert_uint_eq (n_told, 0);
+  lc_view_server_reset (&server); /* still no view */
+  ck_assert_uint_eq (n_notified, 0);
   view.revision = 4;
   lc_view_server_reset (&server);
-  ck_assert_uint_eq (n_told, 1);
+  ck_assert_uint_eq (n_notified, 1);
   lc_view_server_greeted (&server, link);
   view.revision = 5;
   lc_view_server_reset (&server);
-  ck_assert_uint_eq (n_told, 1);
+  ck_assert_uint_eq (n_notified, 1);
   lc_view_server_finish (&server);
   lc_view_finish (&view);
 }
 END_TEST
 
-/* Everybody starts at once, control has no view yet, and one control VM never gets one.  Renewals
- * are a minute apart here, and members whose first choice is the blank VM get a view all the same.
- */
+/* All members start at once, control has no view yet, and one control VM never gets one.  Members
+ * whose first choice is the blank VM must get a view without a renewal: those are a minute apart.
+ * */
 typedef struct
 {
   FakeControl control[2]; /* the first stays blank */
@@ -869,10 +877,10 @@
       fake_node_agent (&f.agents[i], loop, name, ADDRESS (150 + i), "hall-atl", "order-desk",
                        control, 2);
     }
-  ck_assert (fake_run_until (loop, first_are_linked, &f, PATIENCE_MS));
+  ck_assert (fake_run_until (loop, first_are_linked, &f, TIMEOUT_MS));
   fake_control_add_dc (&f.control[1], "hall-atl");
   (void)fake_control_add_service (&f.control[1], "order-desk");
-  is_done = fake_run_until (loop, first_have_views, &f, PATIENCE_MS);
+  is_done = fake_run_until (loop, first_have_views, &f, TIMEOUT_MS);
   for (uint32_t i = 0; i < N_FIRST_AGENTS; i++)
     fake_node_kill (&f.agents[i]);
   for (uint32_t i = 0; i < N_FIRST_BALANCERS; i++)
@@ -884,8 +892,8 @@
 }
 END_TEST
 
-/* All that an agent knows are control VMs that stand by; they learn of the members only later. */
-START_TEST (test_all_seeds_stand_by)
+/* All seeds of the agents are standbys, which are configured with a leader only later. */
+START_TEST (test_all_seeds_are_standbys)
 {
   static Standby s;
   World *w = &world;
@@ -898,7 +906,7 @@
       s.blank[i].stands_by_for = &w->control[0];
       lc_distributor_tell_waiting (s.blank[i].distributor);
     }
-  is_done = fake_run_until (w->loop, have_views, &s, PATIENCE_MS);
+  is_done = fake_run_until (w->loop, have_views, &s, TIMEOUT_MS);
   stop_standby (&s);
   ck_assert (is_done);
 }
@@ -916,22 +924,22 @@
   tcase_add_test (tc, test_join_settle_and_status);
   tcase_add_test (tc, test_killed_agent_is_lost_once_and_returns);
   tcase_add_test (tc, test_planned_stop);
-  tcase_add_test (tc, test_leaving_balancer_watches_nobody);
+  tcase_add_test (tc, test_leaving_balancer_seeds_no_leases);
   tcase_add_test (tc, test_balancer_killed);
   tcase_add_test (tc, test_balancer_frozen);
   tcase_add_test (tc, test_follower_cut);
   tcase_add_test (tc, test_follower_lags);
-  tcase_add_test (tc, test_cut_off_node_says_how_old);
+  tcase_add_test (tc, test_cut_off_member_shows_view_age);
   tcase_add_test (tc, test_relays);
   tcase_add_test (tc, test_relays_without_control);
   tcase_add_test (tc, test_bad_frames_are_counted);
-  tcase_add_test (tc, test_seeds_that_stand_by);
-  tcase_add_test (tc, test_all_seeds_stand_by);
+  tcase_add_test (tc, test_standby_seeds);
+  tcase_add_test (tc, test_all_seeds_are_standbys);
   suite_add_tcase (suite, tc);
   tc = tcase_create ("feed");
   tcase_set_timeout (tc, 60);
   tcase_add_loop_test (tc, test_subscriber_ahead_of_its_server, 0, 2);
-  tcase_add_test (tc, test_first_view_is_told_once);
+  tcase_add_test (tc, test_first_view_is_notified_once);
   tcase_add_test (tc, test_first_view_reaches_all);
   suite_add_tcase (suite, tc);
   return lc_fake_run (suite);
--- a/tests/member/test-member.c
+++ b/tests/member/test-member.c
@@ -1,5 +1,6 @@
-/* Tables of cases of the membership decisions: damping, settling, the guard's hold and its end, the
- * scope of a service that is opened later, the choice of upstreams. */
+/* Tables of membership decisions: flap damping, settling, the guard on mass losses, scopes, the
+ * choice of upstreams, and the reports of a watcher.
+ */
 #include "core/member/lc-flap.h"
 #include "core/member/lc-guard.h"
 #include "core/member/lc-scope.h"
@@ -47,7 +48,7 @@
   return op;
 }
 
-/* One service with `n` endpoints, alternately in two data centres, and two balancers. */
+/* One service with ten endpoints, alternately in two data centres, and two balancers. */
 static void
 setup (void)
 {
@@ -79,10 +80,11 @@
   bool is_suppressed;
 } FLAPS[] = {
   { 1, 1000, 0, false },     { 3, 1000, 0, false },
-  { 4, 1000, 0, true },      { 4, 20000, 0, false },     /* slow returns decay between */
-  { 20, 1000, 30000, true }, { 20, 1000, 60000, false }, /* bounded: it comes back */
+  { 4, 1000, 0, true },      { 4, 20000, 0, false },     /* decays between slow returns */
+  { 20, 1000, 30000, true }, { 20, 1000, 60000, false }, /* the penalty is bounded */
 };
 
+/* Frequent returns are suppressed, rare ones are not, and a decayed record is freed. */
 START_TEST (test_flap)
 {
   LcFlapDesc desc = { 0 };
@@ -115,31 +117,32 @@
   LcRevision applied[2];
   LcRevision registered[2];
   uint32_t n_agents;
-  uint32_t n_heard;
-  uint32_t n_excused;
+  uint32_t n_added;
+  uint32_t n_exempt;
   LcRevision settled;
 } SETTLES[] = {
-  { "all there", { 13, 13 }, { 13, 13 }, 10, 2, 0, 13 },
+  { "all members up to date", { 13, 13 }, { 13, 13 }, 10, 2, 0, 13 },
   { "a balancer behind", { 13, 8 }, { 13, 13 }, 10, 2, 0, 8 },
   { "an agent's flows not registered", { 13, 13 }, { 6, 13 }, 10, 2, 0, 6 },
-  { "a balancer not heard", { 13, 13 }, { 13, 13 }, 10, 1, 0, 0 },
-  { "an agent not heard", { 13, 13 }, { 13, 13 }, 9, 2, 0, 0 },
-  { "an agent excused", { 13, 13 }, { 13, 13 }, 9, 2, 1, 13 },
-  { "nothing to drop", { 3, 13 }, { 13, 13 }, 10, 2, 0, 0 },
+  { "a balancer's fold missing", { 13, 13 }, { 13, 13 }, 10, 1, 0, 0 },
+  { "an agent missing", { 13, 13 }, { 13, 13 }, 9, 2, 0, 0 },
+  { "a missing agent exempt", { 13, 13 }, { 13, 13 }, 9, 2, 1, 13 },
+  { "no former set to drop", { 3, 13 }, { 13, 13 }, 10, 2, 0, 0 },
 };
 
+/* A revision must not settle before every live balancer and agent has reached it. */
 START_TEST (test_settle)
 {
   static const char *const NAMES[] = { "lb-1", "lb-2" };
   LcSettle settle;
 
   lc_settle_begin (&settle);
-  for (uint32_t i = 0; i < SETTLES[_i].n_heard; i++)
+  for (uint32_t i = 0; i < SETTLES[_i].n_added; i++)
     {
       uint32_t n = i == 0 ? SETTLES[_i].n_agents - 5 : 5;
       LcFold fold;
 
-      if (SETTLES[_i].n_heard == 1)
+      if (SETTLES[_i].n_added == 1)
         n = SETTLES[_i].n_agents;
       lc_fold_init (&fold);
       lc_fold_add_balancer (&fold, SETTLES[_i].applied[i], view.revision);
@@ -147,12 +150,12 @@
         lc_fold_add_agent (&fold, view.revision, SETTLES[_i].registered[i], view.revision);
       lc_settle_add (&settle, &view, NAMES[i], &fold);
     }
-  ck_assert_msg (lc_settle_end (&settle, &view, SETTLES[_i].n_excused) == SETTLES[_i].settled, "%s",
+  ck_assert_msg (lc_settle_end (&settle, &view, SETTLES[_i].n_exempt) == SETTLES[_i].settled, "%s",
                  SETTLES[_i].what);
 }
 END_TEST
 
-/* A balancer that the view calls lost is not waited for. */
+/* A balancer that is LOST in the view must not block settling. */
 START_TEST (test_settle_without_lost_balancer)
 {
   LcSettle settle;
@@ -171,8 +174,8 @@
 
 /* === the guard ============================================================================== */
 
-/* Reports the loss of `n` endpoints of data centre 2 (odd ids) once a second and commits what
- * passes. */
+/* Reports the loss of `n` endpoints of data centre 2 (odd ids) once a second and commits those
+ * that pass. */
 static uint32_t
 report_losses (LcGuard *guard, uint32_t n, uint32_t seconds, int64_t *now_us)
 {
@@ -206,6 +209,7 @@
   { 5, 30, 5 },                            /* until the hold ends */
 };
 
+/* Mass losses are held until the hold ends, a few losses are not. */
 START_TEST (test_guard)
 {
   LcGuardDesc desc = { 0 };
@@ -221,6 +225,7 @@
 }
 END_TEST
 
+/* The last endpoint of a service is never let go, and does not block settling forever. */
 START_TEST (test_guard_keeps_the_last)
 {
   LcGuardDesc desc = { 0 };
@@ -235,7 +240,6 @@
   for (int s = 0; s < 100; s++, now_us += LC_US_PER_S)
     {
       ck_assert_int_eq (lc_guard_check (&guard, &view, &change, now_us), LC_GUARD_HOLD);
-      /* Settling doesn't wait for it for ever. */
       ck_assert_uint_eq (lc_guard_n_excused (&guard, now_us), s >= 20 ? 1 : 0);
     }
   ck_assert_uint_eq (lc_guard_n_excused (&guard, now_us + 10 * LC_US_PER_S), 0);
@@ -245,6 +249,7 @@
 
 /* === scope ================================================================================== */
 
+/* A scope follows a service and data centre that are opened after the subscription. */
 START_TEST (test_scope_of_a_service_opened_later)
 {
   LcScope scope = { .is_scoped = true, .service = "ticket-vault", .data_centre = "hall-atl" };
@@ -273,6 +278,7 @@
 
 /* === upstreams ============================================================================== */
 
+/* Choices spread evenly, and an avoided upstream only moves its own choosers. */
 START_TEST (test_upstreams_spread_and_avoid)
 {
   enum
@@ -299,7 +305,7 @@
       chosen[best[0].ipv4]++;
       lc_upstreams_avoid (&up, best[0].ipv4, 7000, 100);
       ck_assert_uint_eq (lc_upstreams_best (&up, 50, after, 2), 2);
-      ck_assert_uint_eq (after[0].ipv4, best[1].ipv4); /* only the place of the avoided moves */
+      ck_assert_uint_eq (after[0].ipv4, best[1].ipv4); /* the order of the others stays */
       ck_assert_uint_eq (lc_upstreams_best (&up, 100, after, 2), 2);
       ck_assert_uint_eq (after[0].ipv4, best[0].ipv4);
       lc_upstreams_finish (&up);
@@ -313,45 +319,46 @@
 
 typedef enum
 {
-  UNSEEN,
-  OTHER, /* the view has a newer process of that name */
-  MINE,
-} Seen;
+  ABSENT,
+  OTHER, /* the view has a newer instance of that name */
+  SAME,
+} InView;
 
 static const struct
 {
   const char *what;
-  Seen seen;
+  InView in_view;
   LcEndpointState state; /* in the view */
-  LcMemberPhase phase;   /* that the member said last */
+  LcMemberPhase phase;   /* that the member reported last */
   LcLeaseState lease;
   bool is_seeded;
   LcMemberChangeKind expected;
 } REPORTS[] = {
-  { "new", UNSEEN, 0, LC_MEMBER_PHASE_LIVE, LC_LEASE_HELD, false, LC_MEMBER_ENDPOINT_ANNOUNCED },
-  { "there", MINE, LC_ENDPOINT_ACTIVE, LC_MEMBER_PHASE_LIVE, LC_LEASE_HELD, false, 0 },
-  { "leaves", MINE, LC_ENDPOINT_ACTIVE, LC_MEMBER_PHASE_LEAVING, LC_LEASE_HELD, false,
+  { "new", ABSENT, 0, LC_MEMBER_PHASE_LIVE, LC_LEASE_HELD, false, LC_MEMBER_ENDPOINT_ANNOUNCED },
+  { "present", SAME, LC_ENDPOINT_ACTIVE, LC_MEMBER_PHASE_LIVE, LC_LEASE_HELD, false, 0 },
+  { "leaves", SAME, LC_ENDPOINT_ACTIVE, LC_MEMBER_PHASE_LEAVING, LC_LEASE_HELD, false,
     LC_MEMBER_ENDPOINT_LEAVING },
-  { "leaves, and the view shows it", MINE, LC_ENDPOINT_DRAINING, LC_MEMBER_PHASE_LEAVING,
+  { "leaves, and the view shows it", SAME, LC_ENDPOINT_DRAINING, LC_MEMBER_PHASE_LEAVING,
     LC_LEASE_HELD, false, 0 },
-  { "leaves, and the view has lost it", MINE, LC_ENDPOINT_LOST, LC_MEMBER_PHASE_LEAVING,
+  { "leaves, and is lost in the view", SAME, LC_ENDPOINT_LOST, LC_MEMBER_PHASE_LEAVING,
     LC_LEASE_HELD, false, LC_MEMBER_ENDPOINT_ANNOUNCED },
-  { "leaves, and is missing in the view", UNSEEN, 0, LC_MEMBER_PHASE_LEAVING, LC_LEASE_HELD, false,
+  { "leaves, and is missing in the view", ABSENT, 0, LC_MEMBER_PHASE_LEAVING, LC_LEASE_HELD, false,
     LC_MEMBER_ENDPOINT_ANNOUNCED },
-  { "leaves, and a newer process has its name", OTHER, LC_ENDPOINT_ACTIVE, LC_MEMBER_PHASE_LEAVING,
+  { "leaves, and a newer instance has its name", OTHER, LC_ENDPOINT_ACTIVE, LC_MEMBER_PHASE_LEAVING,
     LC_LEASE_HELD, false, 0 },
-  { "has gone", MINE, LC_ENDPOINT_DRAINING, LC_MEMBER_PHASE_GONE, LC_LEASE_HELD, false,
+  { "has gone", SAME, LC_ENDPOINT_DRAINING, LC_MEMBER_PHASE_GONE, LC_LEASE_HELD, false,
     LC_MEMBER_ENDPOINT_GONE },
-  { "silent", MINE, LC_ENDPOINT_ACTIVE, LC_MEMBER_PHASE_LIVE, LC_LEASE_LOST, false,
+  { "expired", SAME, LC_ENDPOINT_ACTIVE, LC_MEMBER_PHASE_LIVE, LC_LEASE_LOST, false,
     LC_MEMBER_ENDPOINT_LOST },
-  { "silent while it leaves", MINE, LC_ENDPOINT_DRAINING, LC_MEMBER_PHASE_LEAVING, LC_LEASE_LOST,
+  { "expired while it leaves", SAME, LC_ENDPOINT_DRAINING, LC_MEMBER_PHASE_LEAVING, LC_LEASE_LOST,
     false, LC_MEMBER_ENDPOINT_LOST },
-  { "leaves, watched by others, seeded here and not heard", MINE, LC_ENDPOINT_DRAINING,
+  { "leaves, renews with others, seeded and expired here", SAME, LC_ENDPOINT_DRAINING,
     LC_MEMBER_PHASE_LIVE, LC_LEASE_LOST, true, LC_MEMBER_ENDPOINT_LOST },
-  { "seeded and not heard yet", MINE, LC_ENDPOINT_DRAINING, LC_MEMBER_PHASE_LIVE, LC_LEASE_HELD,
+  { "seeded, not renewed yet", SAME, LC_ENDPOINT_DRAINING, LC_MEMBER_PHASE_LIVE, LC_LEASE_HELD,
     true, 0 },
 };
 
+/* The transition that a watcher reports, by the lease and the view. */
 START_TEST (test_reports)
 {
   LcLease lease = { .state = (uint8_t)REPORTS[_i].lease,
@@ -361,9 +368,9 @@
 
   lease.member.kind = LC_MEMBER_ENDPOINT_ANNOUNCED;
   lease.member.endpoint = op.endpoint;
-  if (REPORTS[_i].seen == OTHER)
+  if (REPORTS[_i].in_view == OTHER)
     op.endpoint.instance = 51;
-  if (REPORTS[_i].seen != UNSEEN)
+  if (REPORTS[_i].in_view != ABSENT)
     apply (op);
   ck_assert_msg (lc_watch_missing (&lease, &view) == REPORTS[_i].expected, "%s: %d",
                  REPORTS[_i].what, (int)lc_watch_missing (&lease, &view));
@@ -377,7 +384,7 @@
   (*(uint32_t *)user)++;
 }
 
-/* What was reported while nobody could act on it is due again when somebody can. */
+/* Reports that got lost without a leader are sent again at once when there is one. */
 START_TEST (test_reports_again)
 {
   LcMemberChange announced = { .kind = LC_MEMBER_ENDPOINT_ANNOUNCED,
--- a/tests/member/test-relays.c
+++ b/tests/member/test-relays.c
@@ -1,8 +1,9 @@
-/* Which balancers hand the view on to the others of their data centre, and how many each has below.
+/* Which balancers relay the view to the others of their data centre, and how many each serves.
  *
- * After a loss of all power a thousand members announce themselves: some 90 KB for each balancer,
- * so 1.8 MB for a relay of twenty.  Over a link of 10 Mbit/s that took 1.1 to 1.5 s, while two VMs
- * of the same data centre had 1,000 Mbit/s. */
+ * After a loss of all power a thousand members announce themselves: some 90 KB per balancer, 1.8 MB
+ * for a relay of twenty.  Over a link of 10 Mbit/s that took 1.1 to 1.5 s, while two VMs of the
+ * same data centre had 1,000 Mbit/s.
+ */
 #include "core/member/lc-relays.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -52,13 +53,13 @@
   uint32_t wide_kbps;
   bool has_unknown;
   uint32_t n_relays;
-  int n_wide_relays; /* -1: by their names */
+  int n_wide_relays; /* -1: not checked, it depends on the hashes */
 } CASES[] = {
-  { "so few that all are direct", 8, 2, 1000000, false, 0, 0 },
-  { "links alike", 61, 0, 0, false, 3, 0 },
-  { "links alike, and many", 367, 0, 0, false, 18, 0 },
+  { "few balancers, all direct", 8, 2, 1000000, false, 0, 0 },
+  { "equal links", 61, 0, 0, false, 3, 0 },
+  { "equal links, many balancers", 367, 0, 0, false, 18, 0 },
   { "two wide ones", 61, 2, 1000000, false, 2, 2 },
-  { "two wide ones, and one says nothing of its link", 61, 2, 1000000, true, 3, -1 },
+  { "two wide ones, and one link is unknown", 61, 2, 1000000, true, 3, -1 },
   { "one wide one", 61, 1, 1000000, false, 3, 1 },
   { "a little wider", 61, 2, 15000, false, 3, -1 },
   { "three times as wide", 61, 2, 30000, false, 2, 2 },
@@ -66,6 +67,7 @@
   { "three wide ones for many", 367, 3, 1000000, false, 3, 3 },
 };
 
+/* The number of relays by balancers and links, and that the widest are among them. */
 START_TEST (test_relays)
 {
   const LcBalancer *relays[LC_RELAYS_MAX];
@@ -82,7 +84,7 @@
 }
 END_TEST
 
-/* Its share, measured by its link, does not grow with the data centre. */
+/* Balancers per relay, relative to its link, must not grow with the data centre. */
 START_TEST (test_share_of_a_link_does_not_grow)
 {
   static const uint32_t WIDE[] = { 0, 2, 4 };
@@ -109,7 +111,7 @@
 }
 END_TEST
 
-/* The death of a relay promotes the next one, whatever its link. */
+/* The death of one of two wide relays promotes others, whatever their links. */
 START_TEST (test_next_one_is_promoted)
 {
   const LcBalancer *relays[LC_RELAYS_MAX];
--- a/tests/member/test-staleness.c
+++ b/tests/member/test-staleness.c
@@ -1,5 +1,6 @@
-/* When a member's view counts as standing still: by what it lacks and for how long, never by being
- * a little behind news that keep coming. */
+/* When a view counts as stale: by the revision that it lacks and for how long, never because it is
+ * slightly behind a steady flow of updates.
+ */
 #include "core/member/lc-staleness.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -11,7 +12,7 @@
 {
   int64_t at_ms;
   LcRevision own;
-  LcRevision said; /* by somebody, just before */
+  LcRevision reported; /* by a peer, just before */
   LcStalenessNews expected;
 } Step;
 
@@ -20,22 +21,23 @@
   const char *what;
   Step steps[8];
 } CASES[] = {
-  { "nothing is known", { { 0, 5, 0, LC_STALENESS_SAME }, { 9000, 5, 0, LC_STALENESS_SAME } } },
-  { "as new as anybody", { { 0, 5, 5, LC_STALENESS_SAME }, { 9000, 5, 5, LC_STALENESS_SAME } } },
-  { "news keep coming, and it follows",
+  { "no revision was reported",
+    { { 0, 5, 0, LC_STALENESS_SAME }, { 9000, 5, 0, LC_STALENESS_SAME } } },
+  { "nothing is missing", { { 0, 5, 5, LC_STALENESS_SAME }, { 9000, 5, 5, LC_STALENESS_SAME } } },
+  { "a steady flow of updates, which it follows",
     { { 0, 5, 6, LC_STALENESS_SAME },
       { 500, 6, 9, LC_STALENESS_SAME },
       { 1000, 9, 12, LC_STALENESS_SAME },
       { 1600, 12, 15, LC_STALENESS_SAME },
       { 2300, 15, 20, LC_STALENESS_SAME },
       { 3000, 20, 25, LC_STALENESS_SAME } } },
-  { "it stands still, and goes on",
+  { "it stops, and catches up",
     { { 0, 5, 6, LC_STALENESS_SAME },
       { 1499, 5, 6, LC_STALENESS_SAME },
       { 1500, 5, 9, LC_STALENESS_BEGINS },
       { 1600, 5, 9, LC_STALENESS_SAME },
       { 1700, 9, 9, LC_STALENESS_ENDS } } },
-  { "it goes on, too slowly",
+  { "it follows too slowly",
     { { 0, 5, 10, LC_STALENESS_SAME },
       { 1000, 7, 20, LC_STALENESS_SAME },
       { 1500, 9, 30, LC_STALENESS_BEGINS },
@@ -43,6 +45,7 @@
       { 3100, 12, 40, LC_STALENESS_BEGINS } } },
 };
 
+/* When staleness begins and ends. */
 START_TEST (test_steps)
 {
   LcStaleness s;
@@ -52,15 +55,15 @@
     {
       const Step *step = &CASES[_i].steps[i];
 
-      lc_staleness_note (&s, step->said);
+      lc_staleness_note (&s, step->reported);
       ck_assert_msg (lc_staleness_check (&s, step->own, step->at_ms * MS) == step->expected,
                      "%s: step %d", CASES[_i].what, i);
     }
 }
 END_TEST
 
-/* Whom to leave: an upstream that lacks the same, not one that has it and has not sent it yet. */
-START_TEST (test_who_lacks)
+/* Only an upstream that lacks the revision, too, is left, not one that has yet to send it. */
+START_TEST (test_upstream_lacks)
 {
   LcStaleness s;
 
@@ -84,7 +87,7 @@
   TCase *tcase = tcase_create ("staleness");
 
   tcase_add_loop_test (tcase, test_steps, 0, (int)(sizeof CASES / sizeof CASES[0]));
-  tcase_add_test (tcase, test_who_lacks);
+  tcase_add_test (tcase, test_upstream_lacks);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
