--- a/src/core/member/lc-backend-status.c
+++ b/src/core/member/lc-backend-status.c
@@ -39,7 +39,7 @@
 lc_backend_status__retire (LcBackendStatus *s, LcInstance successor)
 {
   LcInstance known =
-      s->newest.state != LC_BACKEND_UNKNOWN ? lc_backend_status_instance (s) : s->named;
+      s->newest.state != LC_BACKEND_UNKNOWN ? lc_backend_status_instance (s) : s->listed;
 
   if (known == 0 || known == successor)
     return;
@@ -135,7 +135,7 @@
 lc_backend_status_note_named (LcBackendStatus *s, LcInstance instance)
 {
   if (s->newest.state == LC_BACKEND_UNKNOWN)
-    s->named = instance;
+    s->listed = instance;
 }
 
 LcBackendNews
--- a/src/core/member/lc-backend-status.h
+++ b/src/core/member/lc-backend-status.h
@@ -81,7 +81,7 @@
     int64_t started_us;
     LcBackendReport newest;
     LcInstance earlier[LC_BACKEND_EARLIER_MAX]; /* newest first; 0: none */
-    LcInstance named;                           /* listed by the view, before the first report */
+    LcInstance listed;                          /* by the view, before the first report */
     int64_t reported_us;                        /* time of the newest report */
     int64_t warm_at_us;                         /* end of its slow start */
   } LcBackendStatus;
--- a/src/core/member/lc-guard.c
+++ b/src/core/member/lc-guard.c
@@ -62,7 +62,7 @@
   guard->desc.min_losses = lc_guard__or (desc->min_losses, LC_GUARD_MIN_LOSSES);
   guard->desc.window_ms = lc_guard__or (desc->window_ms, LC_GUARD_WINDOW_MS);
   guard->desc.hold_ms = lc_guard__or (desc->hold_ms, LC_GUARD_HOLD_MS);
-  guard->last = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  guard->last_endpoints = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   guard->groups = g_hash_table_new_full (NULL, NULL, NULL, lc_guard__group_free);
 }
 
@@ -72,7 +72,7 @@
   if (guard->groups != NULL)
     {
       g_hash_table_destroy (guard->groups);
-      g_hash_table_destroy (guard->last);
+      g_hash_table_destroy (guard->last_endpoints);
     }
   memset (guard, 0, sizeof *guard);
 }
@@ -224,14 +224,14 @@
 static void
 lc_guard__note_last (LcGuard *guard, const char *name, int64_t now_us)
 {
-  LcGuardLast *last = g_hash_table_lookup (guard->last, name);
+  LcGuardLast *last = g_hash_table_lookup (guard->last_endpoints, name);
 
   if (last == NULL)
     {
       last = g_new0 (LcGuardLast, 1);
       last->first_us = now_us;
       last->newest_us = now_us;
-      g_hash_table_insert (guard->last, g_strdup (name), last);
+      g_hash_table_insert (guard->last_endpoints, g_strdup (name), last);
     }
   if (now_us - last->newest_us > LC_GUARD_QUIET_MS * LC_US_PER_MS)
     last->first_us = now_us;
@@ -351,7 +351,7 @@
   gpointer value;
   uint32_t n = 0;
 
-  g_hash_table_iter_init (&iter, guard->last);
+  g_hash_table_iter_init (&iter, guard->last_endpoints);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const LcGuardLast *last = value;
--- a/src/core/member/lc-guard.h
+++ b/src/core/member/lc-guard.h
@@ -46,8 +46,8 @@
   typedef struct
   {
     LcGuardDesc desc;
-    GHashTable *last;   /* name of a held last endpoint -> LcGuardLast */
-    GHashTable *groups; /* (kind, id) -> LcGuardGroup */
+    GHashTable *last_endpoints; /* name of a held last endpoint -> LcGuardLast */
+    GHashTable *groups;         /* (kind, id) -> LcGuardGroup */
     uint64_t held_total;
     uint64_t released_total;
     bool is_holding;
