--- a/src/control/lc-distributor-propose.c
+++ b/src/control/lc-distributor-propose.c
@@ -18,7 +18,7 @@
 static const LcBatchPaceDesc LC_DISTRIBUTOR_BATCH = {
   .first_us = LC_DISTRIBUTOR_BATCH_FIRST_MS * LC_US_PER_MS,
   .interval_us = LC_DISTRIBUTOR_BATCH_MS * LC_US_PER_MS,
-  .patience_us = LC_DISTRIBUTOR_PENDING_MS * LC_US_PER_MS, /* then its sender repeats it */
+  .retry_for_us = LC_DISTRIBUTOR_PENDING_MS * LC_US_PER_MS, /* then its sender repeats it */
 };
 
 /* === private: batches ======================================================================= */
--- a/src/core/member/lc-batch-pace.c
+++ b/src/core/member/lc-batch-pace.c
@@ -34,7 +34,7 @@
 lc_batch_pace_failed (LcBatchPace *pace, int64_t now_us)
 {
   int64_t since_us = pace->failing_us != 0 ? pace->failing_us : now_us;
-  bool is_kept = now_us - since_us < pace->desc.patience_us;
+  bool is_kept = now_us - since_us < pace->desc.retry_for_us;
 
   lc_batch_pace_sent (pace, now_us);
   pace->failing_us = is_kept ? since_us : 0;
--- a/src/core/member/lc-batch-pace.h
+++ b/src/core/member/lc-batch-pace.h
@@ -30,9 +30,9 @@
 
   typedef struct
   {
-    int64_t first_us;    /* delay of the first change, to batch simultaneous ones; 0: none */
-    int64_t interval_us; /* minimum between batches; 0: none */
-    int64_t patience_us; /* a batch is retried for this long */
+    int64_t first_us;     /* delay of the first change, to batch simultaneous ones; 0: none */
+    int64_t interval_us;  /* minimum between batches; 0: none */
+    int64_t retry_for_us; /* a batch is retried for this long */
   } LcBatchPaceDesc;
 
   typedef struct
--- a/tests/member/test-batch.c
+++ b/tests/member/test-batch.c
@@ -18,7 +18,7 @@
 
 static const LcBatchPaceDesc PACE = { .first_us = 2000,
                                       .interval_us = 20000,
-                                      .patience_us = 900000 };
+                                      .retry_for_us = 900000 };
 
 /* A change is delayed only by first_us after a pause, else until the end of the interval. */
 START_TEST (test_due_time)
@@ -50,7 +50,7 @@
 }
 END_TEST
 
-/* A refused batch is retried each interval until patience_us, when its sender has repeated it. */
+/* A refused batch is retried each interval until retry_for_us, when its sender has repeated it. */
 START_TEST (test_failures)
 {
   static const struct
