--- a/src/core/lc-view.h
+++ b/src/core/lc-view.h
@@ -219,7 +219,7 @@
   const LcDataCentre *lc_view_dc_by_name (const LcView *view, const char *name);
   /* Number of the data centre's region in this view; LC_REGION_NONE: unknown. */
   uint8_t lc_view_region (const LcView *view, LcDcId id);
-  /* Mask of the view's regions among `homes` (lc-homes.h); LC_REGIONS_ALL when `homes` is empty. */
+  /* Mask of the view's regions in `homes` (a list of names); LC_REGIONS_ALL when it is empty. */
   LcRegionMask lc_view_home_regions (const LcView *view, const char *homes);
   /* Whether the data centre is evacuated; false when it is unknown. */
   bool lc_view_is_evacuated (const LcView *view, LcDcId id);
--- a/src/core/member/lc-batch-pace.h
+++ b/src/core/member/lc-batch-pace.h
@@ -12,7 +12,7 @@
  *     lc_batch_pace_init (&pace, &desc);
  *     due_us = lc_batch_pace_add (&pace, now_us);      a change has come: send at due_us
  *     lc_batch_pace_sent (&pace, now_us);              all pending changes were sent
- *     if (lc_batch_pace_failed (&pace, now_us))        not accepted: keep them and retry at due_us
+ *     if (lc_batch_pace_failed (&pace, now_us))        not accepted: retry at due_us
  *       due_us = lc_batch_pace_add (&pace, now_us);
  *
  * LIFETIME
--- a/tests/member/test-flush-pace.c
+++ b/tests/member/test-flush-pace.c
@@ -73,7 +73,7 @@
   return lc_flush_pause_ms (r->now_us - started_us) * LC_US_PER_MS;
 }
 
-/* Bounds on the time of a flush, the share of time, the unsent bytes, and a minimum of progress. */
+/* Bounds the time and share of flushes and the unsent bytes, and requires progress. */
 START_TEST (test_return_of_all)
 {
   Replay r = { .taken = g_array_new (FALSE, FALSE, sizeof (Taken)) };
