--- a/src/core/lc-error.h
+++ b/src/core/lc-error.h
@@ -38,7 +38,7 @@
     LC_ERR_IO = -6,           /* the operating system refused a call */
     LC_ERR_CORRUPT = -7,      /* stored or received bytes fail their check */
     LC_ERR_VERSION = -8,      /* the peer or file has an unknown version */
-    LC_ERR_TRUNCATED = -9,    /* fewer bytes than the length field */
+    LC_ERR_TRUNCATED = -9,    /* fewer bytes than the length field states */
     LC_ERR_TIMEOUT = -10,     /* the deadline passed */
     LC_ERR_NOT_LEADER = -11,  /* this replica can't accept the request; another one can */
     LC_ERR_UNAVAILABLE = -12, /* nothing can serve the request now */
--- a/src/core/lc-homes.h
+++ b/src/core/lc-homes.h
@@ -13,8 +13,8 @@
  *     if (lc_region_is_in (lc_view_home_regions (view, homes), lc_view_region (view, dc->id))) ...
  *
  * LIMITS
- *   LC_HOMES_BYTES for the names of one address, LC_REGIONS_MAX regions per view.  An address with
- *   homes has none in a data centre whose region is unknown or beyond that number.
+ *   LC_HOMES_BYTES for the names of one address, LC_REGIONS_MAX regions per view.
+ *   A data centre without a region, or beyond that number, is no home of an address that has homes.
  */
 #ifndef LC_HOMES_H
 #define LC_HOMES_H
--- a/src/core/lc-types.h
+++ b/src/core/lc-types.h
@@ -33,7 +33,7 @@
     LC_NAME_MAX = 48,        /* bytes of a name with the final NUL */
     LC_PATH_MAX = 96,        /* bytes of a route's host or path prefix with the final NUL */
     LC_CANDIDATES = 4,       /* endpoints in a packet's candidate list */
-    LC_CONTROL_VMS_MAX = 20, /* control VMs in a process's configuration or cluster */
+    LC_CONTROL_VMS_MAX = 20, /* control VMs whose addresses a process holds */
   };
 
 #define LC_US_PER_MS INT64_C (1000)
--- a/src/core/member/lc-staleness.h
+++ b/src/core/member/lc-staleness.h
@@ -3,9 +3,9 @@
  * WHAT IT IS
  *   Upstreams report their revision, and so does each packet and message of a peer.  A member that
  *   is slightly behind is normal: updates take tens of milliseconds.  A view that lacks a revision
- *   reported LC_STALENESS_US ago is stale: its upstream may get no updates and
- *   not notice it.  The member then looks for another upstream (views stayed stale for up to 28 s while
- *   links were up, 92 times in a day of 300 VMs whose control was partitioned for 5 s).
+ *   reported LC_STALENESS_US ago is stale: its upstream may get no updates and not notice it.
+ *   The member then looks for another upstream (views stayed stale for up to 28 s while links were
+ *   up, 92 times in a day of 300 VMs whose control was partitioned for 5 s).
  *
  * HOW TO USE IT
  *     lc_staleness_note (&staleness, revision);        a peer has this revision
