--- a/src/core/control/lc-raft-elect.c
+++ b/src/core/control/lc-raft-elect.c
@@ -1,8 +1,8 @@
 #include "lc-raft-private.h"
 
-/* === time and chance ======================================================================== */
+/* === timers ================================================================================= */
 
-/* splitmix64: small, and the same everywhere for one seed. */
+/* splitmix64: deterministic for a seed, so that simulations can be repeated. */
 static uint64_t
 lc_raft__random (LcRaft *raft)
 {
@@ -21,15 +21,14 @@
   uint64_t spread_us = (uint64_t)(raft->desc.election_max_ms - raft->desc.election_min_ms) * 1000;
   int64_t extra_us = (int64_t)(lc_raft__random (raft) % (spread_us + 1));
 
-  raft->election_clock_us = raft->clock_us + lc_raft__election_min_us (raft) + extra_us;
+  raft->election_due_clock_us = raft->clock_us + lc_raft__election_min_us (raft) + extra_us;
 }
 
-/* Whether a leader may still count on this replica not to vote for another. */
 bool
 lc_raft__is_bound (const LcRaft *raft)
 {
   return raft->role == LC_RAFT_LEADER ||
-         raft->clock_us - raft->heard_leader_clock_us < lc_raft__election_min_us (raft);
+         raft->clock_us - raft->leader_contact_clock_us < lc_raft__election_min_us (raft);
 }
 
 /* === terms and roles =============================================================== */
@@ -72,11 +71,11 @@
   lc_raft__reset_election_timer (raft);
 }
 
-/* Why a vote is asked for before the last leader's lease has surely ended. */
+/* Why an election may start although a leader's lease may not have expired. */
 typedef enum
 {
-  LC_RAFT_VOTE_USUAL,
-  LC_RAFT_VOTE_TRANSFER, /* the leader asked for it */
+  LC_RAFT_VOTE_USUAL,    /* it has expired: election timeout */
+  LC_RAFT_VOTE_TRANSFER, /* requested by the leader */
   LC_RAFT_VOTE_FRESH,    /* every voter has just started */
 } LcRaftVoteReason;
 
@@ -102,7 +101,7 @@
     }
 }
 
-/* Its own vote counts only once it is on disk: see lc_raft_persisted. */
+/* lc_raft_persisted counts the replica's own vote once it is on disk. */
 static void
 lc_raft__become_candidate (LcRaft *raft, LcRaftVoteReason reason)
 {
@@ -156,19 +155,19 @@
     lc_raft__win (raft);
 }
 
-/* === after a start of all =========================================================== */
+/* === fresh elections ================================================================ */
 
-/* A replica that has just started votes for nobody at first: it may have acknowledged a leader
- * right before, and forgotten the lease with it.  After all power was lost there is no such leader,
- * and the wait costs a good part of the recovery.  So a fresh replica asks the others whether they
- * are fresh, too.  When every voter says so, each of them has ended as a leader, if it was one, and
- * none has heard one since: there is no lease to keep, and it stands at once.  A voter that has
- * heard a leader meanwhile refuses: it is no longer fresh.  One that started earlier than the
- * others, and has heard none for an election timeout, agrees as well. */
+/* A replica that has just started (is fresh) grants no vote for an election timeout, since it may
+ * have acknowledged a leader right before the restart, whose lease it must respect.  After a power
+ * loss of the whole group there is no such leader, and that wait is a good part of the recovery
+ * time.  So a fresh replica sends a fresh pre-vote to all others.  When every voter grants it, all
+ * of them have restarted and none has had contact with a leader since: no lease can exist, and the
+ * replica starts an election at once.  A voter that had leader contact since its start rejects the
+ * request.  A voter that started earlier, and has had none for an election timeout, grants it. */
 enum
 {
-  LC_RAFT_FRESH_SPREAD_MS = 30, /* so that two seldom stand at the same time */
-  LC_RAFT_FRESH_AGAIN_MS = 40,
+  LC_RAFT_FRESH_SPREAD_MS = 30, /* random delay, to avoid simultaneous candidates */
+  LC_RAFT_FRESH_AGAIN_MS = 40,  /* until a request is repeated */
 };
 
 static int64_t
@@ -181,7 +180,7 @@
 lc_raft__fresh_start (LcRaft *raft)
 {
   raft->is_fresh = true;
-  raft->fresh_clock_us = raft->clock_us + lc_raft__fresh_wait_us (raft, 0);
+  raft->fresh_due_clock_us = raft->clock_us + lc_raft__fresh_wait_us (raft, 0);
 }
 
 static void
@@ -194,12 +193,12 @@
     raft->votes[raft->n_votes++] = voter;
 }
 
-/* Stands when every voter has said that it is fresh, or has ended. */
+/* Starts an election when every voter has granted the fresh pre-vote or is gone for good. */
 static void
 lc_raft__stand_if_all_fresh (LcRaft *raft)
 {
-  for (uint32_t i = 0; i < raft->n_ended; i++)
-    lc_raft__count_fresh (raft, raft->ended[i]);
+  for (uint32_t i = 0; i < raft->n_gone; i++)
+    lc_raft__count_fresh (raft, raft->gone[i]);
   if (raft->n_votes == lc_raft_config_n_voters (&raft->config))
     lc_raft__become_candidate (raft, LC_RAFT_VOTE_FRESH);
 }
@@ -207,11 +206,11 @@
 void
 lc_raft_note_ended (LcRaft *raft, LcReplicaId id)
 {
-  for (uint32_t i = 0; i < raft->n_ended; i++)
-    if (raft->ended[i] == id)
+  for (uint32_t i = 0; i < raft->n_gone; i++)
+    if (raft->gone[i] == id)
       return;
-  if (id != raft->desc.id && raft->n_ended < LC_RAFT_MEMBERS_MAX)
-    raft->ended[raft->n_ended++] = id;
+  if (id != raft->desc.id && raft->n_gone < LC_RAFT_MEMBERS_MAX)
+    raft->gone[raft->n_gone++] = id;
 }
 
 void
@@ -219,10 +218,10 @@
 {
   if (raft->clock_us >= lc_raft__election_min_us (raft))
     raft->is_fresh = false;
-  if (!raft->is_fresh || raft->clock_us < raft->fresh_clock_us || raft->role != LC_RAFT_FOLLOWER ||
-      !lc_raft__may_stand (raft))
+  if (!raft->is_fresh || raft->clock_us < raft->fresh_due_clock_us ||
+      raft->role != LC_RAFT_FOLLOWER || !lc_raft__may_stand (raft))
     return;
-  raft->fresh_clock_us = raft->clock_us + lc_raft__fresh_wait_us (raft, LC_RAFT_FRESH_AGAIN_MS);
+  raft->fresh_due_clock_us = raft->clock_us + lc_raft__fresh_wait_us (raft, LC_RAFT_FRESH_AGAIN_MS);
   raft->votes[0] = raft->desc.id;
   raft->n_votes = 1;
   lc_raft__ask_for_votes (raft, true, LC_RAFT_VOTE_FRESH);
@@ -250,9 +249,10 @@
          (m->vote.last_term == last_term && m->vote.last_index >= last);
 }
 
-/* Fresh replicas ask each other within milliseconds.  Among those with equal logs the one with the
- * highest id stands: two that stood at once would share the votes and lose an election timeout, a
- * quarter of a second or more (one start of all in nine, with two voters left of three). */
+/* Whether the sender has priority among fresh replicas, which send requests within milliseconds of
+ * each other.  With equal logs the highest id wins: two simultaneous candidates would split the
+ * vote and lose an election timeout, a quarter of a second or more (that was one restart of all in
+ * nine, with two voters left of three). */
 static bool
 lc_raft__yields (const LcRaft *raft, const LcRaftMessage *m)
 {
@@ -262,9 +262,9 @@
          m->from > raft->desc.id;
 }
 
-/* A voter that began earlier, and has heard no leader for an election timeout, would vote for
- * anybody: there is no lease that it could break.  Voters that start 0.4 s apart after a loss of
- * all power have a leader 0.03 to 0.06 s after the last of five instead of 0.27 s. */
+/* A voter that started earlier, and has had no leader contact for an election timeout, grants as
+ * well: it respects no lease.  With voters that start 0.4 s apart after a total power loss, a
+ * leader is elected 0.03 to 0.06 s after the last of five starts instead of 0.27 s. */
 static bool
 lc_raft__lets_fresh_stand (const LcRaft *raft, const LcRaftMessage *m)
 {
@@ -299,7 +299,7 @@
       lc_raft__set_hard_state (raft, raft->term, m->from);
       lc_raft__reset_election_timer (raft);
     }
-  /* A granted pre-vote answers with the term it was asked for, which is not yet in force. */
+  /* The reply to a granted pre-vote carries the requested term, which is not yet in force. */
   reply.term = reply.vote_reply.is_granted ? m->term : raft->term;
   lc_raft__send (raft, &reply);
 }
@@ -321,7 +321,7 @@
   lc_raft__count_vote (raft, m->from);
 }
 
-/* A log that is about to be replaced by a snapshot must not be led with. */
+/* Not while a snapshot is about to replace the log. */
 bool
 lc_raft__may_stand (const LcRaft *raft)
 {
--- a/src/core/control/lc-raft-follow.c
+++ b/src/core/control/lc-raft-follow.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-/* === private: hearing a leader ============================================================== */
+/* === private: leader contact ================================================================ */
 
-/* False when the message can't come from this term's leader. */
+/* Follows the sender as leader; false when it can't be the leader of this term. */
 static bool
 lc_raft__hear_leader (LcRaft *raft, const LcRaftMessage *m)
 {
@@ -14,13 +14,13 @@
       return false;
     }
   lc_raft__become_follower (raft, raft->term, m->from);
-  raft->heard_leader_clock_us = raft->clock_us;
+  raft->leader_contact_clock_us = raft->clock_us;
   raft->is_fresh = false;
-  raft->vouched_clock_us = raft->clock_us;
+  raft->leader_alive_clock_us = raft->clock_us;
   return true;
 }
 
-/* Says how far this replica's disk agrees with the leader's log. */
+/* Reports up to which index this replica's log on disk matches the leader's. */
 void
 lc_raft__acknowledge (LcRaft *raft, int64_t sent_us)
 {
@@ -42,10 +42,9 @@
   lc_raft__send (raft, &reply);
 }
 
-/* === appended entries ======================================================================= */
+/* === received entries ======================================================================= */
 
-/* Whether the log holds (index, term); what lies before the log's start is committed, so it
- * agrees. */
+/* Whether the log holds (index, term).  Entries before the log's base are committed and match. */
 static bool
 lc_raft__agrees (const LcRaft *raft, uint64_t index, uint64_t term)
 {
@@ -54,7 +53,7 @@
   return index <= lc_raft_last_index (raft) && lc_raft_term_at (raft, index) == term;
 }
 
-/* A place before all entries of the conflicting term. */
+/* An index before all entries of the conflicting term, where the leader tries next. */
 static uint64_t
 lc_raft__hint (const LcRaft *raft, uint64_t prev_index)
 {
@@ -84,7 +83,8 @@
   return true;
 }
 
-/* Takes one entry; false when it contradicts a committed one, which only a faulty peer can send. */
+/* Appends one entry; false when it conflicts with a committed one, which only a faulty peer
+ * sends. */
 static bool
 lc_raft__take_entry (LcRaft *raft, const LcRaftEntry *e)
 {
@@ -135,7 +135,7 @@
     lc_raft__take_entries_of (raft, m);
 }
 
-/* === arriving snapshots ===================================================================== */
+/* === received snapshots ===================================================================== */
 
 void
 lc_raft__drop_incoming (LcRaft *raft)
@@ -158,7 +158,7 @@
   lc_raft__send (raft, &reply);
 }
 
-/* Adds a chunk that continues what has arrived; returns the bytes wanted next. */
+/* Appends the chunk if it is the next one; returns the offset wanted next. */
 static uint64_t
 lc_raft__take_chunk (LcRaft *raft, const LcRaftMessage *m)
 {
@@ -182,14 +182,14 @@
 static void
 lc_raft__begin_install (LcRaft *raft, const LcRaftMessage *m)
 {
-  GByteArray *whole = raft->incoming;
+  GByteArray *bytes = raft->incoming;
 
   raft->incoming = NULL;
   lc_raft__drop_incoming (raft);
   raft->installing.index = m->snapshot.last_index;
   raft->installing.term = m->snapshot.last_term;
   raft->installing.config = *m->snapshot.config;
-  raft->installing.data = g_byte_array_free_to_bytes (whole);
+  raft->installing.data = g_byte_array_free_to_bytes (bytes);
   raft->is_install_dirty = true;
   raft->sequence++;
 }
@@ -217,7 +217,7 @@
       (m->snapshot.last_index <= lc_raft_last_index (raft) &&
        lc_raft_term_at (raft, m->snapshot.last_index) == m->snapshot.last_term))
     {
-      /* The log has all of it. */
+      /* The log already contains the snapshot. */
       raft->leader_match_index = MAX (raft->leader_match_index, m->snapshot.last_index);
       raft->commit_index = MAX (raft->commit_index, m->snapshot.last_index);
       lc_raft__acknowledge (raft, m->snapshot.sent_us);
@@ -229,7 +229,7 @@
     lc_raft__begin_install (raft, m);
 }
 
-/* The snapshot is on disk and replaces the log, which ended before it or contradicted it. */
+/* The snapshot is on disk and replaces the log, which ended before it or conflicted with it. */
 void
 lc_raft__installed (LcRaft *raft)
 {
@@ -247,7 +247,7 @@
   raft->taken_index = raft->base_index;
   raft->dirty_index = 0;
   raft->leader_match_index = MAX (raft->leader_match_index, raft->base_index);
-  raft->has_loaded = true;
+  raft->has_new_snapshot = true;
   raft->counters.snapshots_loaded_total++;
   lc_raft__refresh_config (raft);
 }
--- a/src/core/control/lc-raft-leader.c
+++ b/src/core/control/lc-raft-leader.c
@@ -4,11 +4,11 @@
 
 enum
 {
-  /* An unanswered probe or chunk is sent again after this many heartbeats. */
+  /* An unacknowledged probe or chunk is resent after this many heartbeat intervals. */
   LC_RAFT_RESEND_HEARTBEATS = 3,
 };
 
-/* === private: what is known of the peers ==================================================== */
+/* === private: progress of the peers ========================================================= */
 
 static LcRaftProgress *
 lc_raft__find_progress (LcRaft *raft, LcReplicaId id)
@@ -31,7 +31,7 @@
   p->is_probing = true;
 }
 
-/* Follows the members: new ones start to be replicated to, removed ones are forgotten. */
+/* Updates the progress entries after a configuration change. */
 void
 lc_raft__refresh_progress (LcRaft *raft)
 {
@@ -112,7 +112,7 @@
   return entries;
 }
 
-/* One message to a peer: entries if it may take some, else a heartbeat. */
+/* Sends entries if the peer's window has room for some, else a heartbeat. */
 static void
 lc_raft__send_append (LcRaft *raft, LcRaftProgress *p)
 {
@@ -134,11 +134,11 @@
 lc_raft__send_to (LcRaft *raft, LcRaftProgress *p)
 {
   int64_t resend_us = LC_RAFT_RESEND_HEARTBEATS * lc_raft__heartbeat_us (raft);
-  bool is_quiet = raft->clock_us - p->sent_clock_us >= resend_us;
+  bool is_resend_due = raft->clock_us - p->sent_clock_us >= resend_us;
 
   if (p->sending.index > 0)
     {
-      if (!p->is_waiting || is_quiet)
+      if (!p->is_waiting || is_resend_due)
         lc_raft__send_chunk (raft, p);
     }
   else if (p->next_index <= raft->base_index)
@@ -147,12 +147,12 @@
     lc_raft__send_append (raft, p);
 }
 
-/* Sends what the peers don't have yet, in batches; called when messages are about to leave, so
- * that the proposals of one turn of the event loop travel together. */
+/* Sends new entries to all peers.  Called just before messages are taken, so that the proposals of
+ * one event loop iteration share a batch. */
 void
 lc_raft__leader_flush (LcRaft *raft)
 {
-  raft->has_news = false;
+  raft->needs_flush = false;
   for (uint32_t i = 0; i < raft->n_progress; i++)
     {
       LcRaftProgress *p = &raft->progress[i];
@@ -182,7 +182,7 @@
   return (x < y) - (x > y);
 }
 
-/* The highest value that a quorum of voters has reached; `own` is this replica's. */
+/* The highest value reached by a quorum of voters; `own` is this replica's value. */
 static int64_t
 lc_raft__quorum_value (LcRaft *raft, int64_t own, int64_t (*value) (const LcRaftProgress *p))
 {
@@ -222,7 +222,8 @@
   return p->acked_sent_us;
 }
 
-/* Only an entry of its own term may be committed by counting; it commits all before it. */
+/* Only entries of the leader's own term are committed by counting replicas (Raft, 5.4.2); that
+ * commits all entries before them. */
 void
 lc_raft__maybe_commit (LcRaft *raft)
 {
@@ -232,7 +233,7 @@
   if (index <= raft->commit_index || lc_raft_term_at (raft, index) != raft->term)
     return;
   raft->commit_index = index;
-  raft->has_news = true;
+  raft->needs_flush = true;
   if (raft->config_index <= index && !lc_raft_config_is_voter (&raft->config, raft->desc.id))
     lc_raft__become_follower (raft, raft->term, 0);
 }
@@ -247,7 +248,7 @@
   };
 
   lc_raft__append (raft, &entry);
-  raft->has_news = true;
+  raft->needs_flush = true;
   return entry.index;
 }
 
@@ -268,8 +269,8 @@
   bool has_transferred =
       raft->transfer_until_clock_us > 0 && raft->clock_us >= raft->transfer_until_clock_us;
 
-  raft->vouched_clock_us = quorum_us;
-  /* Cut off without a sign, or the successor it asked for did not come: it no longer leads. */
+  raft->leader_alive_clock_us = quorum_us;
+  /* Steps down when the quorum is lost (check-quorum), or when a transfer was not taken up. */
   if (raft->clock_us - quorum_us >= lc_raft__election_min_us (raft) || has_transferred)
     {
       lc_raft__become_follower (raft, raft->term, 0);
@@ -279,9 +280,9 @@
     lc_raft__heartbeat (raft);
 }
 
-/* === answers ================================================================================ */
+/* === replies ================================================================================ */
 
-/* Any answer in this term shows that the peer was bound to this leader when it answered. */
+/* Any reply in this term shows that the peer followed this leader when it sent it. */
 static LcRaftProgress *
 lc_raft__hear_peer (LcRaft *raft, LcReplicaId from, int64_t sent_us)
 {
@@ -317,9 +318,10 @@
   p->next_index = MAX (p->next_index, p->match_index + 1);
   if (p->sending.index > 0 && p->match_index >= p->sending.index)
     lc_raft_snapshot_finish (&p->sending);
-  /* Only an answer that made room sends more: an unchanged one would answer itself for ever. */
+  /* Only a reply that made progress triggers more messages, else messages and replies would
+   * loop. */
   if (has_moved && p->next_index <= lc_raft_last_index (raft))
-    raft->has_news = true;
+    raft->needs_flush = true;
   lc_raft__maybe_commit (raft);
 }
 
@@ -357,11 +359,12 @@
 lc_raft__check_leader (const LcRaft *raft, LcError *error)
 {
   if (raft->role != LC_RAFT_LEADER || raft->transfer_until_clock_us > 0)
-    return lc_error_set (error, LC_ERR_NOT_LEADER, "ask the leader, or any control VM again soon",
+    return lc_error_set (error, LC_ERR_NOT_LEADER,
+                         "retry on the leader, or shortly on any control VM",
                          "this replica is not the leader");
   if (lc_raft_last_index (raft) - raft->commit_index >= LC_RAFT_UNCOMMITTED_MAX)
-    return lc_error_set (error, LC_ERR_FULL, "send it again in a second",
-                         "%d entries wait to be committed", LC_RAFT_UNCOMMITTED_MAX);
+    return lc_error_set (error, LC_ERR_FULL, "retry in a second", "%d log entries are uncommitted",
+                         LC_RAFT_UNCOMMITTED_MAX);
   return 0;
 }
 
@@ -375,7 +378,7 @@
     return r;
   if (g_bytes_get_size (data) > LC_RAFT_ENTRY_BYTES_MAX)
     return lc_error_set (error, LC_ERR_INVALID, "split the declaration into several",
-                         "an entry of %zu bytes is over the limit of %d", g_bytes_get_size (data),
+                         "log entry of %zu bytes exceeds the limit of %d", g_bytes_get_size (data),
                          LC_RAFT_ENTRY_BYTES_MAX);
   (void)now_us;
   at = lc_raft__append_own (raft, LC_RAFT_ENTRY_COMMAND, data);
@@ -397,25 +400,25 @@
   *config = raft->config;
   if ((change == LC_RAFT_ADD_LEARNER) != (known == NULL))
     return lc_error_set (error, known != NULL ? LC_ERR_EXISTS : LC_ERR_NOT_FOUND,
-                         "look at the members in `lychee status`", "member %s is %s", member->name,
-                         known != NULL ? "there already" : "not there");
+                         "see the members in `lychee status`", "member %s %s", member->name,
+                         known != NULL ? "exists already" : "does not exist");
   if (change == LC_RAFT_PROMOTE && !lc_raft_has_caught_up (raft, member->id))
     return lc_error_set (error, LC_ERR_UNAVAILABLE, "wait until it has caught up",
-                         "member %s is behind the log", member->name);
+                         "learner %s has not caught up with the log", member->name);
   copy.is_learner = change == LC_RAFT_ADD_LEARNER;
   if (change == LC_RAFT_REMOVE)
     lc_raft_config_remove (config, member->id);
   else if (lc_raft_config_put (config, &copy) < 0)
-    return lc_error_set (error, LC_ERR_FULL, "remove a member first", "there are %d members",
-                         LC_RAFT_MEMBERS_MAX);
+    return lc_error_set (error, LC_ERR_FULL, "remove a member first",
+                         "the cluster has %d members already", LC_RAFT_MEMBERS_MAX);
   if (lc_raft_config_n_voters (config) == 0)
     return lc_error_set (error, LC_ERR_REFUSED, "add and promote another member first",
                          "member %s is the last voter", member->name);
   return 0;
 }
 
-/* Two configurations in a row differ by one member, so their majorities overlap, as long as the
- * former is committed and this leader has committed something of its own term. */
+/* Successive configurations differ by one member, so their majorities overlap, provided that the
+ * previous one is committed and this leader has committed an entry of its own term. */
 int
 lc_raft_propose_change (
     LcRaft *raft, LcRaftChange change, const LcRaftMember *member, int64_t now_us, LcError *error)
@@ -430,7 +433,7 @@
   if (raft->config_index > raft->commit_index ||
       lc_raft_term_at (raft, raft->commit_index) != raft->term)
     return lc_error_set (error, LC_ERR_UNAVAILABLE, "wait until it is committed",
-                         "another change of members is under way");
+                         "another change of the control VMs is in progress");
   r = lc_raft__changed_config (raft, change, member, &config, error);
   if (r < 0)
     return r;
@@ -440,7 +443,7 @@
   return 0;
 }
 
-/* === public: handing over =================================================================== */
+/* === public: leadership transfer ============================================================ */
 
 void
 lc_raft_transfer (LcRaft *raft, int64_t now_us)
@@ -457,15 +460,15 @@
       best = &raft->progress[i];
   if (best == NULL)
     return;
-  /* The successor's voters don't wait for this leader's lease, and its message may be late: no
-   * read is served by lease for the rest of this term. */
+  /* Votes for the successor ignore this leader's lease, and its election may go unnoticed here: no
+   * lease reads for the rest of this term. */
   raft->has_lost_lease = true;
   raft->transfer_until_clock_us = raft->clock_us + lc_raft__election_min_us (raft);
   m.to = best->id;
   lc_raft__send (raft, &m);
 }
 
-/* === public: questions ====================================================================== */
+/* === public: queries ======================================================================== */
 
 bool
 lc_raft_can_read (LcRaft *raft, int64_t now_us)
--- a/src/core/control/lc-raft-log.c
+++ b/src/core/control/lc-raft-log.c
@@ -1,6 +1,6 @@
 #include "lc-raft-private.h"
 
-/* === positions ============================================================================== */
+/* === lookup ================================================================================= */
 
 uint64_t
 lc_raft_last_index (const LcRaft *raft)
@@ -26,7 +26,7 @@
   return index == raft->base_index ? raft->base_term : 0;
 }
 
-/* === members named by the log =============================================================== */
+/* === configurations ========================================================================= */
 
 static bool
 lc_raft__decode_config (LcRaftConfig *config, const LcRaftEntry *entry)
@@ -37,8 +37,8 @@
   return bytes != NULL && lc_raft_config_decode (config, bytes, len) == 0;
 }
 
-/* The members as of `index`: those of the newest configuration entry up to it, or what was in
- * force before the log starts. */
+/* The configuration as of `index`: of the newest configuration entry up to it, or the one at the
+ * log's base. */
 LcRaftConfig
 lc_raft__config_at (const LcRaft *raft, uint64_t index)
 {
@@ -75,7 +75,7 @@
   return MAX (raft->config_index, raft->base_index);
 }
 
-/* === change ================================================================================= */
+/* === modification =========================================================================== */
 
 void
 lc_raft__append (LcRaft *raft, const LcRaftEntry *entry)
@@ -90,8 +90,8 @@
     lc_raft__refresh_config (raft);
 }
 
-/* Entries handed out for writing but replaced meanwhile must not count as stable when that write
- * is confirmed. */
+/* Also lowers taken_index: entries handed out for writing and then replaced must not count as
+ * stable when that write is confirmed. */
 void
 lc_raft__truncate (LcRaft *raft, uint64_t from_index)
 {
--- a/src/core/control/lc-raft-private.h
+++ b/src/core/control/lc-raft-private.h
@@ -1,40 +1,40 @@
-/* lc-raft-private: what the parts of lc-raft share.
+/* lc-raft-private: internal functions shared by the source files of lc-raft.
  *
- *   lc-raft.c         lifetime, clock, writes, dispatch of messages
+ *   lc-raft.c         lifetime, clock, writes, message dispatch
  *   lc-raft-elect.c   terms, roles, votes
- *   lc-raft-log.c     the log in memory and the members that it names
- *   lc-raft-leader.c  replication, commit, lease, member changes
- *   lc-raft-follow.c  appended entries and arriving snapshots
+ *   lc-raft-log.c     the in-memory log and the configurations in it
+ *   lc-raft-leader.c  replication, commit, lease, configuration changes
+ *   lc-raft-follow.c  received entries and snapshots
  */
 #ifndef LC_RAFT_PRIVATE_H
 #define LC_RAFT_PRIVATE_H
 
 #include "lc-raft.h"
 
+/* An outgoing message. */
 typedef struct
 {
   LcRaftMessage message;
-  uint64_t after; /* sent once this write sequence is on disk */
+  uint64_t after_sequence; /* held back until this write sequence is on disk */
 } LcRaftHeld;
 
 /* lc-raft.c */
 int64_t lc_raft__election_min_us (const LcRaft *raft);
 int64_t lc_raft__heartbeat_us (const LcRaft *raft);
-/* Takes the message; it waits for the newest term and vote to be on disk. */
+/* Queues and owns the message; it is held back until the newest term and vote are on disk. */
 void lc_raft__send (LcRaft *raft, LcRaftMessage *message);
 
 /* lc-raft-elect.c */
 uint32_t lc_raft__quorum (const LcRaft *raft);
 void lc_raft__reset_election_timer (LcRaft *raft);
-/* Whether a leader may still count on this replica not to vote for another. */
+/* Whether a leader's lease may still rely on this replica not voting for another candidate. */
 bool lc_raft__is_bound (const LcRaft *raft);
-/* A replica that has just started asks whether all have: see lc-raft-elect.c. */
+/* Fresh elections, after a restart of the whole group: see lc-raft-elect.c. */
 void lc_raft__fresh_start (LcRaft *raft);
 void lc_raft__fresh_tick (LcRaft *raft);
 bool lc_raft__may_stand (const LcRaft *raft);
 void lc_raft__become_follower (LcRaft *raft, uint64_t term, LcReplicaId leader);
 void lc_raft__become_pre_candidate (LcRaft *raft);
-/* Its own vote counts only once it is on disk. */
 void lc_raft__count_vote (LcRaft *raft, LcReplicaId voter);
 void lc_raft__on_vote (LcRaft *raft, const LcRaftMessage *message);
 void lc_raft__on_vote_reply (LcRaft *raft, const LcRaftMessage *message);
--- a/src/core/control/lc-raft-types.c
+++ b/src/core/control/lc-raft-types.c
@@ -179,7 +179,7 @@
       }
 }
 
-/* === members as bytes ======================================================================= */
+/* === encoding of members ====================================================================== */
 
 GBytes *
 lc_raft_config_encode (const LcRaftConfig *config)
--- a/src/core/control/lc-raft-types.h
+++ b/src/core/control/lc-raft-types.h
@@ -1,12 +1,12 @@
-/* lc-raft-types: entries, members, messages and writes of the replicated log.
+/* lc-raft-types: log entries, group members, messages and disk writes of lc-raft.
  *
  * LIFETIME
- *   Entries, snapshots, messages and writes hold references to immutable GBytes; each has a
- *   _finish that drops them.
+ *   Entries, snapshots, messages and writes hold references to immutable GBytes, which their
+ *   _finish functions release.
  *
  * LIMITS
- *   A message with entries or a chunk stays under LC_FRAME_PAYLOAD_MAX as long as one entry does;
- *   lc_raft_propose refuses larger ones.
+ *   A message with entries or a chunk fits LC_FRAME_PAYLOAD_MAX as long as one entry does;
+ *   lc_raft_propose rejects larger entries.
  */
 #ifndef LC_RAFT_TYPES_H
 #define LC_RAFT_TYPES_H
@@ -26,11 +26,11 @@
   enum
   {
     LC_RAFT_MEMBERS_MAX = 9,
-    LC_RAFT_UNCOMMITTED_MAX = 4096,
+    LC_RAFT_UNCOMMITTED_MAX = 4096, /* entries */
     LC_RAFT_ENTRY_BYTES_MAX = 512 << 10,
     LC_RAFT_SNAPSHOT_BYTES_MAX = 256 << 20,
-    LC_RAFT_MAX_STEP_US = 50000,
-    LC_RAFT_CATCH_UP_ENTRIES = 64, /* a learner this close may become a voter */
+    LC_RAFT_MAX_STEP_US = 50000,   /* of LcRaft.clock_us per input */
+    LC_RAFT_CATCH_UP_ENTRIES = 64, /* a learner no further behind may become a voter */
   };
 
   typedef enum
@@ -47,7 +47,7 @@
     uint32_t ipv4;
     uint16_t peer_port;
     uint16_t http_port;
-    bool is_learner; /* receives the log, doesn't count for a quorum */
+    bool is_learner; /* receives the log, doesn't vote or count for a quorum */
     char name[LC_NAME_MAX];
   } LcRaftMember;
 
@@ -68,7 +68,7 @@
   {
     LC_RAFT_ENTRY_NOOP = 1,    /* a new leader's first entry */
     LC_RAFT_ENTRY_CONFIG = 2,  /* data is an encoded LcRaftConfig */
-    LC_RAFT_ENTRY_COMMAND = 3, /* data belongs to the state machine */
+    LC_RAFT_ENTRY_COMMAND = 3, /* data is passed to the state machine */
   } LcRaftEntryKind;
 
   typedef struct
@@ -87,17 +87,17 @@
     GBytes *data;
   } LcRaftSnapshot;
 
-  /* One write: term and vote, then a snapshot or entries; entries from first_index on replace what
-   * the disk holds from there. */
+  /* One disk write: term and vote, then a snapshot or entries.  Entries replace what the disk holds
+   * from the first one's index on. */
   typedef struct
   {
-    uint64_t sequence; /* confirm with this */
+    uint64_t sequence; /* for lc_raft_persisted */
     bool has_hard_state;
     uint64_t term;
     LcReplicaId vote;
     LcRaftSnapshot snapshot; /* index 0: none; replaces the whole log */
     GArray *entries;         /* LcRaftEntry; NULL: none */
-    uint64_t commit_index;   /* known so far; written along with entries only */
+    uint64_t commit_index;   /* as of now; written only together with entries */
   } LcRaftPersist;
 
   typedef enum
@@ -108,7 +108,7 @@
     LC_RAFT_APPEND_REPLY = 4,
     LC_RAFT_SNAPSHOT = 5,
     LC_RAFT_SNAPSHOT_REPLY = 6,
-    LC_RAFT_TIMEOUT_NOW = 7, /* stand for election at once: the leader hands over */
+    LC_RAFT_TIMEOUT_NOW = 7, /* leadership transfer: start an election at once */
   } LcRaftMessageKind;
 
   typedef struct
@@ -124,14 +124,14 @@
         uint64_t last_index;
         uint64_t last_term;
         bool is_pre;
-        bool is_transfer; /* the leader asked for it: its lease doesn't stand in the way */
-        bool is_fresh;    /* all voters have just started: nobody's lease stands in the way */
+        bool is_transfer; /* requested by the leader: ignores its lease */
+        bool is_fresh;    /* all voters have just started: there is no lease */
       } vote;
       struct
       {
         bool is_pre;
         bool is_granted;
-        bool is_fresh; /* answers a vote that is */
+        bool is_fresh; /* reply to a fresh vote request */
       } vote_reply;
       struct
       {
@@ -144,8 +144,8 @@
       struct
       {
         bool is_ok;
-        uint64_t match_index; /* ok: on disk up to here; else: a place to try next */
-        int64_t sent_us;      /* echo */
+        uint64_t match_index; /* ok: on disk up to here; else: index to try next */
+        int64_t sent_us;      /* echoed from the request */
       } append_reply;
       struct
       {
@@ -168,24 +168,24 @@
 
   LcRaftEntry lc_raft_entry_copy (const LcRaftEntry *entry);
   void lc_raft_entry_finish (LcRaftEntry *entry);
-  /* An array of LcRaftEntry that finishes its elements. */
+  /* A new array of LcRaftEntry that finishes its elements. */
   GArray *lc_raft_entries_new (void);
   void lc_raft_snapshot_copy (LcRaftSnapshot *to, const LcRaftSnapshot *from);
   void lc_raft_snapshot_finish (LcRaftSnapshot *snapshot);
   void lc_raft_persist_finish (LcRaftPersist *persist);
   void lc_raft_message_finish (LcRaftMessage *message);
 
-  /* Members as bytes, for entries, snapshots and frames. */
+  /* The encoding used in entries, snapshots and frames. */
   GBytes *lc_raft_config_encode (const LcRaftConfig *config);
   int lc_raft_config_decode (LcRaftConfig *config, const uint8_t *bytes, size_t len);
   const LcRaftMember *lc_raft_config_find (const LcRaftConfig *config, LcReplicaId id);
   const LcRaftMember *lc_raft_config_find_name (const LcRaftConfig *config, const char *name);
-  /* The member whose peer address this is, or NULL. */
+  /* The member with this peer address, or NULL. */
   const LcRaftMember *
   lc_raft_config_find_address (const LcRaftConfig *config, uint32_t ipv4, uint16_t peer_port);
   uint32_t lc_raft_config_n_voters (const LcRaftConfig *config);
   bool lc_raft_config_is_voter (const LcRaftConfig *config, LcReplicaId id);
-  /* Adds or replaces, keeping the order; LC_ERR_FULL. */
+  /* Adds or replaces a member by id; LC_ERR_FULL. */
   int lc_raft_config_put (LcRaftConfig *config, const LcRaftMember *member);
   void lc_raft_config_remove (LcRaftConfig *config, LcReplicaId id);
 
--- a/src/core/control/lc-raft.c
+++ b/src/core/control/lc-raft.c
@@ -11,10 +11,10 @@
   LC_RAFT_BATCH_BYTES = 256 << 10,
   LC_RAFT_WINDOW_ENTRIES = 512,
   LC_RAFT_TRAILING = 1024,
-  LC_RAFT_TRAILING_BYTES = 2 << 20, /* some twenty of the largest declarations in use */
+  LC_RAFT_TRAILING_BYTES = 2 << 20, /* about twenty of the largest declarations in use */
 };
 
-/* === private: time and chance =============================================================== */
+/* === private: clock and defaults ============================================================ */
 
 static uint32_t
 lc_raft__or (uint32_t value, uint32_t fallback)
@@ -46,7 +46,7 @@
   raft->now_us = now_us;
 }
 
-/* === private: messages out ================================================================== */
+/* === private: outgoing messages ============================================================= */
 
 void
 lc_raft__send (LcRaft *raft, LcRaftMessage *message)
@@ -55,7 +55,7 @@
 
   held.message.from = raft->desc.id;
   if (raft->hard_sequence > raft->persisted_sequence)
-    held.after = raft->hard_sequence;
+    held.after_sequence = raft->hard_sequence;
   g_array_append_val (raft->outbox, held);
 }
 
@@ -81,7 +81,7 @@
   desc->trailing_bytes = lc_raft__or (desc->trailing_bytes, LC_RAFT_TRAILING_BYTES);
 }
 
-/* What recovery found is on disk already: nothing of it is handed out for writing. */
+/* Recovered state is already on disk: none of it is handed out for writing. */
 static void
 lc_raft__load (LcRaft *raft, const LcRaftDesc *desc)
 {
@@ -89,7 +89,7 @@
   raft->base_index = desc->snapshot.index;
   raft->base_term = desc->snapshot.term;
   raft->base_config = desc->snapshot.index > 0 ? desc->snapshot.config : desc->initial_config;
-  raft->has_loaded = desc->snapshot.index > 0;
+  raft->has_new_snapshot = desc->snapshot.index > 0;
   for (size_t i = 0; i < desc->n_entries; i++)
     {
       LcRaftEntry copy = lc_raft_entry_copy (&desc->entries[i]);
@@ -120,8 +120,8 @@
   raft->desc.n_entries = 0;
   memset (&raft->desc.snapshot, 0, sizeof raft->desc.snapshot);
   raft->now_us = now_us;
-  /* It may have heard a leader just before it was restarted: heard_leader_clock_us stays at the
-   * start of its clock, so that it keeps that leader's lease. */
+  /* It may have acknowledged a leader just before the restart: leader_contact_clock_us is 0, the
+   * start of clock_us, so that no vote breaks that leader's lease. */
   lc_raft__reset_election_timer (raft);
   lc_raft__fresh_start (raft);
 }
@@ -150,7 +150,7 @@
       return;
     }
   lc_raft__fresh_tick (raft);
-  if (raft->clock_us < raft->election_clock_us)
+  if (raft->clock_us < raft->election_due_clock_us)
     return;
   if (lc_raft__may_stand (raft))
     lc_raft__become_pre_candidate (raft);
@@ -158,7 +158,7 @@
     lc_raft__reset_election_timer (raft);
 }
 
-/* Messages of a newer term: whether they may move this replica to it. */
+/* Whether a message of a newer term moves this replica to that term. */
 static bool
 lc_raft__adopts_term (LcRaft *raft, const LcRaftMessage *m)
 {
@@ -183,7 +183,7 @@
     lc_raft__become_follower (raft, m->term, is_from_leader ? m->from : 0);
 }
 
-/* Tells a deposed leader or an old candidate the term it missed. */
+/* Replies with the current term, which makes a deposed leader or candidate step down. */
 static void
 lc_raft__on_older_term (LcRaft *raft, const LcRaftMessage *m)
 {
@@ -233,7 +233,7 @@
 void
 lc_raft_receive (LcRaft *raft, const LcRaftMessage *m, int64_t now_us)
 {
-  bool is_request = m->kind == LC_RAFT_VOTE || m->kind == LC_RAFT_VOTE_REPLY;
+  bool is_vote = m->kind == LC_RAFT_VOTE || m->kind == LC_RAFT_VOTE_REPLY;
 
   lc_raft__advance (raft, now_us);
   if (m->to != raft->desc.id || m->from == raft->desc.id || m->from == 0)
@@ -245,8 +245,8 @@
     lc_raft__on_newer_term (raft, m);
   if (m->term < raft->term)
     lc_raft__on_older_term (raft, m);
-  /* Votes may speak of a term that is not in force yet. */
-  else if (m->term == raft->term || is_request)
+  /* Pre-votes carry a term that is not in force yet. */
+  else if (m->term == raft->term || is_vote)
     lc_raft__dispatch (raft, m);
 }
 
@@ -326,13 +326,13 @@
 lc_raft_take_message (LcRaft *raft, LcRaftMessage *message, int64_t now_us)
 {
   lc_raft__advance (raft, now_us);
-  if (raft->role == LC_RAFT_LEADER && raft->has_news)
+  if (raft->role == LC_RAFT_LEADER && raft->needs_flush)
     lc_raft__leader_flush (raft);
   for (guint i = 0; i < raft->outbox->len; i++)
     {
       LcRaftHeld *held = &g_array_index (raft->outbox, LcRaftHeld, i);
 
-      if (held->after > raft->persisted_sequence)
+      if (held->after_sequence > raft->persisted_sequence)
         continue;
       *message = held->message;
       memset (held, 0, sizeof *held);
@@ -346,21 +346,21 @@
 bool
 lc_raft_take_snapshot (LcRaft *raft, LcRaftSnapshot *snapshot)
 {
-  if (!raft->has_loaded)
+  if (!raft->has_new_snapshot)
     return false;
-  raft->has_loaded = false;
+  raft->has_new_snapshot = false;
   lc_raft_snapshot_copy (snapshot, &raft->snapshot);
   return true;
 }
 
-/* Only what is on this replica's own disk is applied, so that a restart never finds its state
- * machine ahead of its log. */
+/* Only entries on this replica's own disk are applied, so that after a restart the state machine is
+ * never ahead of the log. */
 const LcRaftEntry *
 lc_raft_next_committed (const LcRaft *raft)
 {
   uint64_t limit = MIN (raft->commit_index, raft->stable_index);
 
-  if (raft->has_loaded || raft->applied_index >= limit)
+  if (raft->has_new_snapshot || raft->applied_index >= limit)
     return NULL;
   return lc_raft__entry (raft, raft->applied_index + 1);
 }
@@ -380,8 +380,8 @@
   snapshot->data = g_bytes_ref (data);
 }
 
-/* The entry before the oldest that is kept: a follower that is a little behind is sent entries, not
- * a snapshot, but entries may be large. */
+/* The index before the oldest entry kept.  Trailing entries spare slightly slow followers a
+ * snapshot; they are limited in bytes as well, since entries may be large. */
 static uint64_t
 lc_raft__trailing_base (const LcRaft *raft, uint64_t snapshot_index)
 {
@@ -410,7 +410,7 @@
   lc_raft__drop_before (raft, lc_raft__trailing_base (raft, snapshot->index));
 }
 
-/* === public: questions ====================================================================== */
+/* === public: queries ======================================================================== */
 
 bool
 lc_raft_is_leader (const LcRaft *raft)
@@ -423,5 +423,5 @@
 {
   if (raft->role == LC_RAFT_LEADER)
     return 0;
-  return raft->vouched_clock_us > 0 ? raft->clock_us - raft->vouched_clock_us : -1;
+  return raft->leader_alive_clock_us > 0 ? raft->clock_us - raft->leader_alive_clock_us : -1;
 }
--- a/tests/control/model/replace.pml
+++ b/tests/control/model/replace.pml
@@ -2,10 +2,11 @@
  *
  * Four VMs, 0 to 3; the cluster is formed of 0, 1 and 2, and 3 replaces 0: first it becomes a voter
  * (configuration 1), then 0 is removed (configuration 2).  Messages are sets that only grow, so any
- * message may be late, doubled or lost.  What a VM says rests on its disk; with -DBUG_VOTE a crash
- * may forget a vote that was sent, with -DBUG_COUNT a leader commits entries of older terms by
- * counting, with -DBUG_CHANGE it begins a second change before the first is committed, with
- * -DBUG_LOG votes are given without comparing logs.
+ * message may be late, duplicated or lost.  All state is durable before a message about it is sent.
+ * Each of these defines adds a fault that the assertions must detect: with -DBUG_VOTE a crash may
+ * lose a vote that was sent, with -DBUG_COUNT a leader commits entries of older terms by counting,
+ * with -DBUG_CHANGE it begins a second change before the first is committed, with -DBUG_LOG votes
+ * are granted without comparing logs.
  *
  *   spin -DBUG_LOG -a replace.pml && cc -O2 -DSAFETY -DBITSTATE -o pan pan.c && ./pan -w30 -m100000
  *
@@ -41,7 +42,7 @@
 byte committed[LEN + 1];           /* term of the committed entry; 0: none */
 byte committed_in[LEN + 1];        /* term of the leader that committed it first */
 
-/* The configuration that a VM's log, or a leader's, names: the newest in it. */
+/* The newest configuration in the log of a VM, or of the leader of a term. */
 inline config_of_vm (who, out)
 {
   out = 0;
@@ -174,7 +175,7 @@
   fi
 }
 
-/* A follower takes the leader's log of term `at` up to some place. */
+/* A follower replicates the log of the leader of term `at` up to index `upto`. */
 inline replicate (who, at, upto)
 {
   if
@@ -183,7 +184,7 @@
      :: at > term[who] -> term[who] = at; vote[who] = NOBODY
      :: else
      fi;
-     j = 0; /* first place that differs */
+     j = 0; /* first index that differs */
      for (i : 1 .. LEN) {
        if
        :: j == 0 && i <= upto && (i > n_log[who] || logs[AT (who, i)] != lead_log[AT (at, i)]) -> j = i
--- a/tests/control/prop-replica.cc
+++ b/tests/control/prop-replica.cc
@@ -1,7 +1,8 @@
-/* Three and five control VMs under loss, delay, doubling, reordering, one-way cuts, crashes with
- * loss of unsynced writes, pauses, clock steps and replaced members: no committed entry is lost, no
- * revision goes back, at most one leader a term, a resent intent takes effect once, lease reads are
- * never stale; and once all is healed, it goes on. */
+/* Simulation of three and five control VMs with message loss, delay, duplication, reordering,
+ * one-way partitions, crashes with loss of unsynced writes, pauses, clock steps and replaced
+ * members.  Checks that no committed entry is lost, no revision goes back, each term has at most
+ * one leader, a resent intent takes effect once, lease reads are never stale, and that progress
+ * resumes after recovery. */
 #include "fakes/lc-fake-cluster.h"
 
 #include <rapidcheck.h>
@@ -9,26 +10,26 @@
 namespace
 {
 
-struct Trouble
+struct Faults
 {
   uint64_t seed;
   uint32_t members;
   uint32_t loss;
-  uint32_t doubles;
+  uint32_t duplicates;
   int64_t delay_max_us;
   int64_t sync_max_us;
   bool steps_clocks;
 };
 
-Trouble
-any_trouble ()
+Faults
+random_faults ()
 {
-  Trouble t;
+  Faults t;
 
   t.seed = *rc::gen::inRange<uint64_t> (1, 1000000000).as ("seed");
   t.members = *rc::gen::element<uint32_t> (3, 5).as ("members");
   t.loss = *rc::gen::inRange<uint32_t> (0, 25).as ("loss percent");
-  t.doubles = *rc::gen::inRange<uint32_t> (0, 20).as ("doubled percent");
+  t.duplicates = *rc::gen::inRange<uint32_t> (0, 20).as ("doubled percent");
   t.delay_max_us = *rc::gen::element<int64_t> (1000, 20000, 120000).as ("longest delay");
   t.sync_max_us = *rc::gen::element<int64_t> (1500, 12000, 60000).as ("longest sync");
   t.steps_clocks = *rc::gen::arbitrary<bool> ().as ("clock steps");
@@ -36,14 +37,14 @@
 }
 
 LcFakeCluster *
-make (const Trouble &t)
+make (const Faults &t)
 {
   LcFakeClusterDesc desc = {};
 
   desc.seed = t.seed;
   desc.n_members = t.members;
   desc.loss_percent = t.loss;
-  desc.double_percent = t.doubles;
+  desc.double_percent = t.duplicates;
   desc.delay_max_us = t.delay_max_us;
   desc.sync_max_us = t.sync_max_us;
   desc.think_us = 30000;
@@ -55,9 +56,9 @@
   return lc_fake_cluster_new (&desc);
 }
 
-/* Half of the trouble meets the leader, where it matters most. */
+/* Half of the faults hit the leader, where they matter most. */
 uint32_t
-victim (LcFakeCluster *c)
+pick_target (LcFakeCluster *c)
 {
   int leader = lc_fake_cluster_leader (c);
 
@@ -70,7 +71,7 @@
 random_cut (LcFakeCluster *c)
 {
   uint32_t n = lc_fake_cluster_n_nodes (c);
-  uint32_t from = victim (c);
+  uint32_t from = pick_target (c);
 
   for (uint32_t to = 0; to < n; to++)
     if (lc_fake_cluster_random (c, 2) == 0)
@@ -81,7 +82,7 @@
       }
 }
 
-/* Several VMs lose power in one moment, and come back. */
+/* Several VMs lose power at once; most of them restart. */
 void
 lose_power (LcFakeCluster *c)
 {
@@ -97,9 +98,9 @@
       lc_fake_cluster_start (c, i);
 }
 
-/* The leader is cut off while clocks step: its lease must end before another leads. */
+/* Partitions the leader while clocks step: its lease must end before another replica leads. */
 void
-depose (LcFakeCluster *c)
+isolate_leader (LcFakeCluster *c)
 {
   int leader = lc_fake_cluster_leader (c);
   uint32_t n = lc_fake_cluster_n_nodes (c);
@@ -123,9 +124,9 @@
 }
 
 void
-make_trouble (LcFakeCluster *c)
+inject_fault (LcFakeCluster *c)
 {
-  uint32_t node = victim (c);
+  uint32_t node = pick_target (c);
 
   switch (lc_fake_cluster_random (c, 10))
     {
@@ -149,7 +150,7 @@
       lose_power (c);
       break;
     case 7:
-      depose (c);
+      isolate_leader (c);
       break;
     case 8:
       lc_fake_cluster_pause (c, node, 100000 + (int64_t)lc_fake_cluster_random (c, 3000000));
@@ -194,12 +195,12 @@
   bool ok = true;
 
   ok &= rc::check ("safe under trouble, and goes on after it", [] () {
-    LcFakeCluster *c = make (any_trouble ());
+    LcFakeCluster *c = make (random_faults ());
     uint64_t before;
 
     for (int i = 0; i < 30; i++)
       {
-        make_trouble (c);
+        inject_fault (c);
         lc_fake_cluster_run (c, (int64_t)lc_fake_cluster_random (c, 700000));
       }
     heal_all (c);
--- a/tests/control/test-raft.c
+++ b/tests/control/test-raft.c
@@ -1,4 +1,4 @@
-/* One replica at a time: the rules that random schedules seldom break, each by itself. */
+/* Safety rules of a single replica that the randomized simulation (prop-replica) seldom reaches. */
 #include "core/control/lc-raft.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -7,7 +7,7 @@
 
 enum
 {
-  ME = 1,
+  SELF = 1,
   PEER = 2,
   THIRD = 3,
   TICK_US = 10000,
@@ -20,11 +20,11 @@
 } Replica;
 
 static LcRaftConfig
-three (void)
+three_members (void)
 {
   LcRaftConfig config = { 0 };
 
-  for (LcReplicaId id = ME; id <= THIRD; id++)
+  for (LcReplicaId id = SELF; id <= THIRD; id++)
     {
       LcRaftMember member = { .id = id };
 
@@ -34,17 +34,17 @@
   return config;
 }
 
-/* A replica that was started long enough ago to be bound to no leader. */
+/* Starts a follower with these recovered entries. */
 static void
 start (Replica *r, uint64_t term, const LcRaftEntry *entries, size_t n_entries)
 {
-  LcRaftDesc desc = { .id = ME,
+  LcRaftDesc desc = { .id = SELF,
                       .seed = 1,
                       .election_max_ms = 600,
                       .term = term,
                       .entries = entries,
                       .n_entries = n_entries,
-                      .initial_config = three () };
+                      .initial_config = three_members () };
 
   memset (r, 0, sizeof *r);
   r->now_us = LC_US_PER_S;
@@ -52,7 +52,7 @@
 }
 
 static void
-pass (Replica *r, int64_t for_us)
+advance (Replica *r, int64_t for_us)
 {
   for (int64_t at_us = 0; at_us < for_us; at_us += TICK_US)
     {
@@ -62,7 +62,7 @@
 }
 
 static void
-store (Replica *r)
+persist_all (Replica *r)
 {
   LcRaftPersist persist;
 
@@ -75,29 +75,30 @@
     lc_raft_applied (&r->raft);
 }
 
-/* Takes all messages; the newest of `kind` to `to` is copied out (without what it refers to). */
+/* Takes all outgoing messages and copies out the last one of `kind` to `to`, without its
+ * buffers. */
 static bool
-sent (Replica *r, LcRaftMessageKind kind, LcReplicaId to, LcRaftMessage *out)
+take_message (Replica *r, LcRaftMessageKind kind, LcReplicaId to, LcRaftMessage *out)
 {
   LcRaftMessage m;
-  bool is_there = false;
+  bool is_found = false;
 
   while (lc_raft_take_message (&r->raft, &m, r->now_us))
     {
       if (m.kind == kind && m.to == to)
         {
-          is_there = true;
+          is_found = true;
           *out = m;
         }
       lc_raft_message_finish (&m);
     }
-  return is_there;
+  return is_found;
 }
 
 static void
 receive (Replica *r, LcRaftMessage m)
 {
-  m.to = ME;
+  m.to = SELF;
   lc_raft_receive (&r->raft, &m, r->now_us);
 }
 
@@ -122,7 +123,7 @@
 }
 
 static void
-answer (Replica *r, LcReplicaId from, uint64_t match_index)
+acknowledge (Replica *r, LcReplicaId from, uint64_t match_index)
 {
   LcRaftMessage m = { .kind = LC_RAFT_APPEND_REPLY, .from = from, .term = r->raft.term };
 
@@ -132,27 +133,27 @@
   receive (r, m);
 }
 
-/* Elected with the vote of PEER. */
+/* Wins an election with the vote of PEER. */
 static void
 become_leader (Replica *r)
 {
   LcRaftMessage grant = { .kind = LC_RAFT_VOTE_REPLY, .from = PEER };
 
   while (r->raft.role != LC_RAFT_PRE_CANDIDATE)
-    pass (r, TICK_US);
+    advance (r, TICK_US);
   grant.term = r->raft.term + 1;
   grant.vote_reply.is_granted = true;
   grant.vote_reply.is_pre = true;
   receive (r, grant);
   ck_assert_int_eq (r->raft.role, LC_RAFT_CANDIDATE);
-  store (r);
+  persist_all (r);
   grant.vote_reply.is_pre = false;
   receive (r, grant);
   ck_assert_int_eq (r->raft.role, LC_RAFT_LEADER);
-  store (r);
+  persist_all (r);
 }
 
-/* === nothing before the sync ================================================================ */
+/* === no message before fsync ================================================================ */
 
 START_TEST (test_vote_waits_for_its_sync)
 {
@@ -160,17 +161,17 @@
   LcRaftMessage m;
 
   start (&r, 3, NULL, 0);
-  pass (&r, 500000 - TICK_US);
-  pass (&r, TICK_US);
+  advance (&r, 500000 - TICK_US);
+  advance (&r, TICK_US);
   receive (&r, vote_request (PEER, 4));
   ck_assert_uint_eq (r.raft.vote, PEER);
-  ck_assert (!sent (&r, LC_RAFT_VOTE_REPLY, PEER, &m));
-  store (&r);
-  ck_assert (sent (&r, LC_RAFT_VOTE_REPLY, PEER, &m));
+  ck_assert (!take_message (&r, LC_RAFT_VOTE_REPLY, PEER, &m));
+  persist_all (&r);
+  ck_assert (take_message (&r, LC_RAFT_VOTE_REPLY, PEER, &m));
   ck_assert (m.vote_reply.is_granted);
   receive (&r, vote_request (THIRD, 4));
-  store (&r);
-  ck_assert (sent (&r, LC_RAFT_VOTE_REPLY, THIRD, &m));
+  persist_all (&r);
+  ck_assert (take_message (&r, LC_RAFT_VOTE_REPLY, THIRD, &m));
   ck_assert (!m.vote_reply.is_granted);
   lc_raft_finish (&r.raft);
 }
@@ -184,16 +185,16 @@
 
   start (&r, 0, NULL, 0);
   while (r.raft.role != LC_RAFT_PRE_CANDIDATE)
-    pass (&r, TICK_US);
-  (void)sent (&r, LC_RAFT_VOTE, PEER, &m);
+    advance (&r, TICK_US);
+  (void)take_message (&r, LC_RAFT_VOTE, PEER, &m);
   grant.vote_reply.is_granted = true;
   grant.vote_reply.is_pre = true;
   receive (&r, grant);
-  ck_assert (!sent (&r, LC_RAFT_VOTE, PEER, &m));
+  ck_assert (!take_message (&r, LC_RAFT_VOTE, PEER, &m));
   grant.vote_reply.is_pre = false;
   receive (&r, grant);
   ck_assert_int_eq (r.raft.role, LC_RAFT_CANDIDATE);
-  store (&r);
+  persist_all (&r);
   ck_assert_int_eq (r.raft.role, LC_RAFT_LEADER);
   lc_raft_finish (&r.raft);
 }
@@ -210,10 +211,10 @@
   append.append.entries = lc_raft_entries_new ();
   g_array_append_val (append.append.entries, entry);
   receive (&r, append);
-  ck_assert (sent (&r, LC_RAFT_APPEND_REPLY, PEER, &m));
+  ck_assert (take_message (&r, LC_RAFT_APPEND_REPLY, PEER, &m));
   ck_assert_uint_eq (m.append_reply.match_index, 0);
-  store (&r);
-  ck_assert (sent (&r, LC_RAFT_APPEND_REPLY, PEER, &m));
+  persist_all (&r);
+  ck_assert (take_message (&r, LC_RAFT_APPEND_REPLY, PEER, &m));
   ck_assert_uint_eq (m.append_reply.match_index, 1);
   g_array_unref (append.append.entries);
   lc_raft_finish (&r.raft);
@@ -222,9 +223,9 @@
 
 /* === committing ============================================================================= */
 
-/* An entry of an older term that a majority holds may still be replaced: it is committed only by
- * one of the leader's own term after it. */
-START_TEST (test_older_term_is_not_committed_by_counting)
+/* An entry of an older term may still be replaced although a majority holds it: it is committed
+ * only by a later entry of the leader's own term. */
+START_TEST (test_older_term_is_not_committed_by_counting_replicas)
 {
   LcRaftEntry old = { .index = 1, .term = 1, .kind = LC_RAFT_ENTRY_NOOP };
   Replica r;
@@ -232,9 +233,9 @@
   start (&r, 2, &old, 1);
   become_leader (&r);
   ck_assert_uint_eq (lc_raft_last_index (&r.raft), 2);
-  answer (&r, PEER, 1);
+  acknowledge (&r, PEER, 1);
   ck_assert_uint_eq (r.raft.commit_index, 0);
-  answer (&r, PEER, 2);
+  acknowledge (&r, PEER, 2);
   ck_assert_uint_eq (r.raft.commit_index, 2);
   lc_raft_finish (&r.raft);
 }
@@ -249,16 +250,16 @@
 
   start (&r, 0, NULL, 0);
   become_leader (&r);
-  answer (&r, PEER, 1);
+  acknowledge (&r, PEER, 1);
   ck_assert_int_eq (lc_raft_propose_change (&r.raft, LC_RAFT_ADD_LEARNER, &learner, r.now_us, NULL),
                     0);
-  store (&r);
+  persist_all (&r);
   ck_assert_int_eq (lc_raft_propose_change (&r.raft, LC_RAFT_ADD_LEARNER, &another, r.now_us, NULL),
                     LC_ERR_UNAVAILABLE);
   index = lc_raft_last_index (&r.raft);
-  answer (&r, 4, index);
+  acknowledge (&r, 4, index);
   ck_assert_uint_lt (r.raft.commit_index, index);
-  answer (&r, PEER, index);
+  acknowledge (&r, PEER, index);
   ck_assert_uint_eq (r.raft.commit_index, index);
   lc_raft_finish (&r.raft);
 }
@@ -271,19 +272,19 @@
 
   start (&r, 0, NULL, 0);
   become_leader (&r);
-  answer (&r, PEER, 1);
+  acknowledge (&r, PEER, 1);
   (void)lc_raft_propose_change (&r.raft, LC_RAFT_ADD_LEARNER, &learner, r.now_us, NULL);
-  store (&r);
-  answer (&r, PEER, 2);
+  persist_all (&r);
+  acknowledge (&r, PEER, 2);
   ck_assert_int_eq (lc_raft_propose_change (&r.raft, LC_RAFT_PROMOTE, &learner, r.now_us, NULL),
                     LC_ERR_UNAVAILABLE);
-  answer (&r, 4, 2);
+  acknowledge (&r, 4, 2);
   ck_assert_int_eq (lc_raft_propose_change (&r.raft, LC_RAFT_PROMOTE, &learner, r.now_us, NULL), 0);
   lc_raft_finish (&r.raft);
 }
 END_TEST
 
-/* A majority must not depend on a replica that does not yet hold the entry that names it. */
+/* A quorum must not count a replica that lacks the configuration entry that added it. */
 START_TEST (test_learner_without_the_entry_that_named_it_is_not_promoted)
 {
   LcRaftMember learner = { .id = 4, .name = "control-4" };
@@ -291,15 +292,15 @@
 
   start (&r, 0, NULL, 0);
   become_leader (&r);
-  answer (&r, PEER, 1);
+  acknowledge (&r, PEER, 1);
   (void)lc_raft_propose_change (&r.raft, LC_RAFT_ADD_LEARNER, &learner, r.now_us, NULL);
-  store (&r);
-  answer (&r, PEER, 2);
-  answer (&r, 4, 1);
+  persist_all (&r);
+  acknowledge (&r, PEER, 2);
+  acknowledge (&r, 4, 1);
   ck_assert (!lc_raft_has_caught_up (&r.raft, 4));
   ck_assert_int_eq (lc_raft_propose_change (&r.raft, LC_RAFT_PROMOTE, &learner, r.now_us, NULL),
                     LC_ERR_UNAVAILABLE);
-  answer (&r, 4, 2);
+  acknowledge (&r, 4, 2);
   ck_assert (lc_raft_has_caught_up (&r.raft, 4));
   lc_raft_finish (&r.raft);
 }
@@ -314,8 +315,8 @@
   start (&r, 0, NULL, 0);
   become_leader (&r);
   ck_assert (!lc_raft_can_read (&r.raft, r.now_us));
-  answer (&r, PEER, 1);
-  store (&r);
+  acknowledge (&r, PEER, 1);
+  persist_all (&r);
   ck_assert (lc_raft_can_read (&r.raft, r.now_us));
   ck_assert (lc_raft_can_read (&r.raft, r.now_us + 299000));
   ck_assert (!lc_raft_can_read (&r.raft, r.now_us + 301000));
@@ -329,78 +330,78 @@
 
   start (&r, 0, NULL, 0);
   become_leader (&r);
-  answer (&r, PEER, 1);
-  store (&r);
+  acknowledge (&r, PEER, 1);
+  persist_all (&r);
   ck_assert (lc_raft_can_read (&r.raft, r.now_us));
   r.now_us -= 100000;
   lc_raft_tick (&r.raft, r.now_us);
-  answer (&r, PEER, 1);
+  acknowledge (&r, PEER, 1);
   ck_assert (!lc_raft_can_read (&r.raft, r.now_us));
   lc_raft_finish (&r.raft);
 }
 END_TEST
 
-START_TEST (test_lease_is_given_up_at_hand_over)
+START_TEST (test_lease_ends_with_leadership_transfer)
 {
   Replica r;
   LcRaftMessage m;
 
   start (&r, 0, NULL, 0);
   become_leader (&r);
-  answer (&r, PEER, 1);
-  store (&r);
-  (void)sent (&r, LC_RAFT_APPEND, PEER, &m);
+  acknowledge (&r, PEER, 1);
+  persist_all (&r);
+  (void)take_message (&r, LC_RAFT_APPEND, PEER, &m);
   lc_raft_transfer (&r.raft, r.now_us);
   ck_assert (!lc_raft_can_read (&r.raft, r.now_us));
-  ck_assert (sent (&r, LC_RAFT_TIMEOUT_NOW, PEER, &m));
+  ck_assert (take_message (&r, LC_RAFT_TIMEOUT_NOW, PEER, &m));
   ck_assert_int_eq (lc_raft_propose (&r.raft, NULL, r.now_us, NULL, NULL), LC_ERR_NOT_LEADER);
   lc_raft_finish (&r.raft);
 }
 END_TEST
 
-/* === promises to a leader =================================================================== */
+/* === votes under a lease ==================================================================== */
 
 static const struct
 {
   const char *name;
-  int64_t wait_us; /* after the start or the heartbeat */
-  int64_t step_us; /* of the clock, all at once */
-  bool has_heard;  /* a heartbeat came before */
+  int64_t wait_us;         /* after the start or the heartbeat */
+  int64_t step_us;         /* forward step of the clock after that */
+  bool has_leader_contact; /* a heartbeat was received first */
   bool is_pre;
   bool is_transfer;
   bool is_granted;
-} PROMISES[] = {
-  { "just started: it may be bound", 400000, 0, false, true, false, false },
+} LEASE_VOTES[] = {
+  { "just started: a lease may exist", 400000, 0, false, true, false, false },
   { "started long ago", 520000, 0, false, true, false, true },
-  { "heard a leader", 400000, 0, true, true, false, false },
-  { "heard a leader, real vote", 400000, 0, true, false, false, false },
-  { "heard a leader, who hands over", 400000, 0, true, false, true, true },
-  { "a step forward doesn't end the promise", 100000, 5000000, true, true, false, false },
+  { "leader contact", 400000, 0, true, true, false, false },
+  { "leader contact, real vote", 400000, 0, true, false, false, false },
+  { "leader contact, leadership transfer", 400000, 0, true, false, true, true },
+  { "a forward clock step doesn't end the lease", 100000, 5000000, true, true, false, false },
 };
 
-START_TEST (test_promises)
+START_TEST (test_votes_under_a_lease)
 {
   Replica r;
   LcRaftMessage request;
   LcRaftMessage m;
 
   start (&r, 1, NULL, 0);
-  if (PROMISES[_i].has_heard)
+  if (LEASE_VOTES[_i].has_leader_contact)
     receive (&r, heartbeat (THIRD, 1, 0, 0));
-  /* Without ticks of its own it would stand; only the votes matter here. */
-  for (int64_t at_us = 0; at_us < PROMISES[_i].wait_us; at_us += TICK_US)
+  /* Advances the clock without ticks, which would start an election. */
+  for (int64_t at_us = 0; at_us < LEASE_VOTES[_i].wait_us; at_us += TICK_US)
     {
       r.now_us += TICK_US;
       lc_raft_suspend (&r.raft, false, r.now_us);
     }
-  r.now_us += PROMISES[_i].step_us;
+  r.now_us += LEASE_VOTES[_i].step_us;
   request = vote_request (PEER, 2);
-  request.vote.is_pre = PROMISES[_i].is_pre;
-  request.vote.is_transfer = PROMISES[_i].is_transfer;
+  request.vote.is_pre = LEASE_VOTES[_i].is_pre;
+  request.vote.is_transfer = LEASE_VOTES[_i].is_transfer;
   receive (&r, request);
-  store (&r);
-  ck_assert_msg (sent (&r, LC_RAFT_VOTE_REPLY, PEER, &m), "%s", PROMISES[_i].name);
-  ck_assert_msg (m.vote_reply.is_granted == PROMISES[_i].is_granted, "%s", PROMISES[_i].name);
+  persist_all (&r);
+  ck_assert_msg (take_message (&r, LC_RAFT_VOTE_REPLY, PEER, &m), "%s", LEASE_VOTES[_i].name);
+  ck_assert_msg (m.vote_reply.is_granted == LEASE_VOTES[_i].is_granted, "%s", LEASE_VOTES[_i].name);
   lc_raft_finish (&r.raft);
 }
 END_TEST
@@ -417,7 +418,7 @@
 } TRAILING[] = {
   { "small entries: by number", 10, 16, 1 << 20, 24 },
   { "large entries: by bytes", 100 << 10, 1024, 1 << 20, 30 },
-  { "one larger than all that may be kept", 2 << 20, 1024, 1 << 20, 40 },
+  { "one entry larger than the limit", 2 << 20, 1024, 1 << 20, 40 },
   { "all fit", 10, 1024, 1 << 20, 0 },
 };
 
@@ -428,7 +429,7 @@
     N_ENTRIES = 40,
   };
   LcRaftEntry entries[N_ENTRIES];
-  LcRaftDesc desc = { .id = ME, .seed = 1, .term = 1, .initial_config = three () };
+  LcRaftDesc desc = { .id = SELF, .seed = 1, .term = 1, .initial_config = three_members () };
   LcRaftSnapshot snapshot = { 0 };
   LcRaft raft;
 
@@ -448,12 +449,12 @@
     lc_raft_applied (&raft);
   snapshot.index = N_ENTRIES;
   snapshot.term = 1;
-  snapshot.config = three ();
+  snapshot.config = three_members ();
   snapshot.data = g_bytes_new_static ("x", 1);
   lc_raft_compact (&raft, &snapshot);
   ck_assert_msg (raft.base_index == TRAILING[_i].base_index, "%s: %u", TRAILING[_i].what,
                  (unsigned)raft.base_index);
-  /* Members that the log names no more are still known as of its start. */
+  /* The configuration of compacted entries is kept at the log's base. */
   ck_assert_uint_eq (lc_raft_config_as_of (&raft), raft.base_index);
   lc_raft_snapshot_finish (&snapshot);
   lc_raft_finish (&raft);
@@ -462,28 +463,28 @@
 }
 END_TEST
 
-/* === what was known to be committed ========================================================= */
+/* === recovered commit index ================================================================= */
 
 static const struct
 {
   const char *what;
   uint64_t commit_index; /* as recovered */
-  uint64_t expected;     /* applied before any leader speaks */
-} KNOWN_COMMITS[] = {
-  { "nothing was known", 0, 0 },
+  uint64_t expected;     /* entries applied before any leader contact */
+} COMMIT_INDEXES[] = {
+  { "none recorded", 0, 0 },
   { "some", 3, 3 },
   { "all", 5, 5 },
-  { "more than is there: the disk lost the end", 9, 5 },
+  { "beyond the log: the disk lost its end", 9, 5 },
 };
 
-START_TEST (test_known_commits_are_applied_at_the_start)
+START_TEST (test_recovered_commits_are_applied_at_start)
 {
   enum
   {
     N_ENTRIES = 5,
   };
   LcRaftEntry entries[N_ENTRIES];
-  LcRaftDesc desc = { .id = ME, .seed = 1, .term = 1, .initial_config = three () };
+  LcRaftDesc desc = { .id = SELF, .seed = 1, .term = 1, .initial_config = three_members () };
   LcRaftPersist persist;
   uint64_t n = 0;
   LcRaft raft;
@@ -495,12 +496,12 @@
                                 .data = g_bytes_new_static ("x", 1) };
   desc.entries = entries;
   desc.n_entries = N_ENTRIES;
-  desc.commit_index = KNOWN_COMMITS[_i].commit_index;
+  desc.commit_index = COMMIT_INDEXES[_i].commit_index;
   lc_raft_init (&raft, &desc, 0);
   for (; lc_raft_next_committed (&raft) != NULL; n++)
     lc_raft_applied (&raft);
-  ck_assert_msg (n == KNOWN_COMMITS[_i].expected, "%s: %u", KNOWN_COMMITS[_i].what, (unsigned)n);
-  /* It leads nobody and vouches for nothing: only a leader does. */
+  ck_assert_msg (n == COMMIT_INDEXES[_i].expected, "%s: %u", COMMIT_INDEXES[_i].what, (unsigned)n);
+  /* It neither leads nor serves lease reads. */
   ck_assert (!lc_raft_is_leader (&raft));
   ck_assert (!lc_raft_can_read (&raft, 1));
   ck_assert (!lc_raft_take_persist (&raft, &persist));
@@ -508,46 +509,49 @@
 }
 END_TEST
 
-/* === after a start of all =================================================================== */
+/* === fresh elections ======================================================================== */
 
 static const struct
 {
   const char *what;
-  LcReplicaId grants[2]; /* who says that it is fresh, too */
-  LcReplicaId ended;     /* a member whose folder is gone; 0: none */
-  bool hears_leader;     /* before the last of them answers */
-  int64_t answers_us;    /* after the start */
-  bool stands;
-} FRESH[] = {
+  LcReplicaId grants[2];   /* voters that grant the fresh pre-vote */
+  LcReplicaId gone;        /* a member that lost its data folder; 0: none */
+  bool has_leader_contact; /* before the last of them replies */
+  int64_t replies_us;      /* time of the replies after the start */
+  bool campaigns;
+} FRESH_ELECTIONS[] = {
   { "all are fresh", { PEER, THIRD }, 0, false, 50000, true },
-  { "one does not answer", { PEER, 0 }, 0, false, 50000, false },
-  { "one does not answer, since it has ended", { PEER, 0 }, THIRD, false, 50000, true },
-  { "one has ended, the other does not answer", { 0, 0 }, THIRD, false, 50000, false },
-  { "one answers twice", { PEER, PEER }, 0, false, 50000, false },
-  { "a leader was heard", { PEER, THIRD }, 0, true, 50000, false },
-  { "the answers come when it is fresh no more", { PEER, THIRD }, 0, false, 600000, false },
+  { "one does not reply", { PEER, 0 }, 0, false, 50000, false },
+  { "one does not reply, since it is gone for good", { PEER, 0 }, THIRD, false, 50000, true },
+  { "one is gone for good, the other does not reply", { 0, 0 }, THIRD, false, 50000, false },
+  { "one replies twice", { PEER, PEER }, 0, false, 50000, false },
+  { "leader contact in between", { PEER, THIRD }, 0, true, 50000, false },
+  { "replies after it stopped being fresh", { PEER, THIRD }, 0, false, 600000, false },
 };
 
-START_TEST (test_all_fresh)
+START_TEST (test_fresh_election_needs_all_voters)
 {
   Replica r;
 
   start (&r, 4, NULL, 0);
-  if (FRESH[_i].ended != 0)
-    lc_raft_note_ended (&r.raft, FRESH[_i].ended);
-  pass (&r, FRESH[_i].answers_us);
-  for (int i = 0; i < 2 && FRESH[_i].grants[i] != 0; i++)
+  if (FRESH_ELECTIONS[_i].gone != 0)
+    lc_raft_note_ended (&r.raft, FRESH_ELECTIONS[_i].gone);
+  advance (&r, FRESH_ELECTIONS[_i].replies_us);
+  for (int i = 0; i < 2 && FRESH_ELECTIONS[_i].grants[i] != 0; i++)
     {
-      LcRaftMessage grant = { .kind = LC_RAFT_VOTE_REPLY, .from = FRESH[_i].grants[i], .term = 5 };
+      LcRaftMessage grant = { .kind = LC_RAFT_VOTE_REPLY,
+                              .from = FRESH_ELECTIONS[_i].grants[i],
+                              .term = 5 };
 
-      if (i == 1 && FRESH[_i].hears_leader)
+      if (i == 1 && FRESH_ELECTIONS[_i].has_leader_contact)
         receive (&r, heartbeat (PEER, 4, 0, 0));
       grant.vote_reply.is_pre = true;
       grant.vote_reply.is_fresh = true;
       grant.vote_reply.is_granted = true;
       receive (&r, grant);
     }
-  ck_assert_msg ((r.raft.role == LC_RAFT_CANDIDATE) == FRESH[_i].stands, "%s", FRESH[_i].what);
+  ck_assert_msg ((r.raft.role == LC_RAFT_CANDIDATE) == FRESH_ELECTIONS[_i].campaigns, "%s",
+                 FRESH_ELECTIONS[_i].what);
   lc_raft_finish (&r.raft);
 }
 END_TEST
@@ -555,14 +559,14 @@
 static const struct
 {
   const char *what;
-  int64_t after_us; /* of its start */
-  bool has_heard;   /* a leader */
-  bool is_fresh;    /* the request */
+  int64_t after_us;        /* after its start */
+  bool has_leader_contact; /* leader contact since its start */
+  bool is_fresh;           /* in the request */
   bool is_granted;
 } FRESH_VOTES[] = {
   { "fresh voter, all fresh", 50000, false, true, true },
   { "fresh voter, usual vote", 50000, false, false, false },
-  { "a voter that heard a leader since", 50000, true, true, false },
+  { "a voter with leader contact since its start", 50000, true, true, false },
 };
 
 START_TEST (test_fresh_votes)
@@ -572,96 +576,97 @@
   Replica r;
 
   start (&r, 4, NULL, 0);
-  pass (&r, FRESH_VOTES[_i].after_us);
-  if (FRESH_VOTES[_i].has_heard)
+  advance (&r, FRESH_VOTES[_i].after_us);
+  if (FRESH_VOTES[_i].has_leader_contact)
     receive (&r, heartbeat (THIRD, 4, 0, 0));
   m.vote.is_fresh = FRESH_VOTES[_i].is_fresh;
   receive (&r, m);
-  store (&r);
-  ck_assert_msg ((sent (&r, LC_RAFT_VOTE_REPLY, PEER, &reply) && reply.vote_reply.is_granted) ==
-                     FRESH_VOTES[_i].is_granted,
+  persist_all (&r);
+  ck_assert_msg ((take_message (&r, LC_RAFT_VOTE_REPLY, PEER, &reply) &&
+                  reply.vote_reply.is_granted) == FRESH_VOTES[_i].is_granted,
                  "%s", FRESH_VOTES[_i].what);
   lc_raft_finish (&r.raft);
 }
 END_TEST
 
-/* Of two fresh replicas just one lets the other stand, so that they can't share the votes. */
+/* Two fresh replicas that grant each other's request would both start an election and split the
+ * vote: only one may grant. */
 static const struct
 {
   const char *what;
   LcReplicaId self;
   LcReplicaId from;
-  uint64_t last_index; /* of who asks; the log here is empty */
+  uint64_t last_index; /* of the sender; this replica's log is empty */
   bool is_granted;
-} YIELDS[] = {
-  { "equal logs, asked by the higher id", ME, PEER, 0, true },
-  { "equal logs, asked by the lower id", PEER, ME, 0, false },
-  { "a longer log goes before the id", PEER, ME, 7, true },
+} PRIORITIES[] = {
+  { "equal logs, asked by the higher id", SELF, PEER, 0, true },
+  { "equal logs, asked by the lower id", PEER, SELF, 0, false },
+  { "a longer log outranks the id", PEER, SELF, 7, true },
 };
 
-START_TEST (test_fresh_replicas_yield)
+START_TEST (test_only_one_fresh_replica_grants)
 {
-  LcRaftMessage m = vote_request (YIELDS[_i].from, 5);
+  LcRaftMessage m = vote_request (PRIORITIES[_i].from, 5);
   LcRaftMessage reply;
   Replica r;
 
   start (&r, 4, NULL, 0);
-  r.raft.desc.id = YIELDS[_i].self;
-  m.to = YIELDS[_i].self;
+  r.raft.desc.id = PRIORITIES[_i].self;
+  m.to = PRIORITIES[_i].self;
   m.vote.is_pre = true;
   m.vote.is_fresh = true;
-  m.vote.last_index = YIELDS[_i].last_index;
-  m.vote.last_term = YIELDS[_i].last_index > 0 ? 4 : 0;
+  m.vote.last_index = PRIORITIES[_i].last_index;
+  m.vote.last_term = PRIORITIES[_i].last_index > 0 ? 4 : 0;
   lc_raft_receive (&r.raft, &m, r.now_us);
-  store (&r);
-  ck_assert_msg ((sent (&r, LC_RAFT_VOTE_REPLY, YIELDS[_i].from, &reply) &&
-                  reply.vote_reply.is_granted) == YIELDS[_i].is_granted,
-                 "%s", YIELDS[_i].what);
+  persist_all (&r);
+  ck_assert_msg ((take_message (&r, LC_RAFT_VOTE_REPLY, PRIORITIES[_i].from, &reply) &&
+                  reply.vote_reply.is_granted) == PRIORITIES[_i].is_granted,
+                 "%s", PRIORITIES[_i].what);
   lc_raft_finish (&r.raft);
 }
 END_TEST
 
-/* Voters start up to half a second apart.  Those that began earlier and have heard no leader for an
- * election timeout hold nobody to a lease; they let one that is fresh stand at once. */
+/* Voters may start up to half a second apart.  Those that started earlier, and had no leader
+ * contact for an election timeout, must not delay the election of a fresh replica. */
 static const struct
 {
   const char *what;
   LcReplicaId self;
   LcReplicaId from;
   int64_t after_us;
-  bool has_heard; /* a leader, just before */
+  bool has_leader_contact; /* leader contact just before */
   bool is_granted;
-} UNBOUND[] = {
-  { "heard nobody for long, asked by the lower id", PEER, ME, 600000, false, true },
-  { "heard nobody for long, asked by the higher id", ME, PEER, 600000, false, true },
-  { "heard nobody for very long", PEER, ME, 5000000, false, true },
-  { "heard a leader just now", PEER, ME, 600000, true, false },
+} EARLIER_VOTERS[] = {
+  { "no leader contact for 0.6 s, asked by the lower id", PEER, SELF, 600000, false, true },
+  { "no leader contact for 0.6 s, asked by the higher id", SELF, PEER, 600000, false, true },
+  { "no leader contact for 5 s", PEER, SELF, 5000000, false, true },
+  { "leader contact just now", PEER, SELF, 600000, true, false },
 };
 
-START_TEST (test_unbound_replicas_let_a_fresh_one_stand)
+START_TEST (test_earlier_voters_grant_fresh_request)
 {
-  LcRaftMessage m = vote_request (UNBOUND[_i].from, 5);
+  LcRaftMessage m = vote_request (EARLIER_VOTERS[_i].from, 5);
   LcRaftMessage reply;
   Replica r;
 
   start (&r, 4, NULL, 0);
-  r.raft.desc.id = UNBOUND[_i].self;
-  pass (&r, UNBOUND[_i].after_us);
-  if (UNBOUND[_i].has_heard)
+  r.raft.desc.id = EARLIER_VOTERS[_i].self;
+  advance (&r, EARLIER_VOTERS[_i].after_us);
+  if (EARLIER_VOTERS[_i].has_leader_contact)
     {
       LcRaftMessage alive = heartbeat (THIRD, 4, 0, 0);
 
-      alive.to = UNBOUND[_i].self;
+      alive.to = EARLIER_VOTERS[_i].self;
       lc_raft_receive (&r.raft, &alive, r.now_us);
     }
-  m.to = UNBOUND[_i].self;
+  m.to = EARLIER_VOTERS[_i].self;
   m.vote.is_pre = true;
   m.vote.is_fresh = true;
   lc_raft_receive (&r.raft, &m, r.now_us);
-  store (&r);
-  ck_assert_msg ((sent (&r, LC_RAFT_VOTE_REPLY, UNBOUND[_i].from, &reply) &&
-                  reply.vote_reply.is_granted) == UNBOUND[_i].is_granted,
-                 "%s", UNBOUND[_i].what);
+  persist_all (&r);
+  ck_assert_msg ((take_message (&r, LC_RAFT_VOTE_REPLY, EARLIER_VOTERS[_i].from, &reply) &&
+                  reply.vote_reply.is_granted) == EARLIER_VOTERS[_i].is_granted,
+                 "%s", EARLIER_VOTERS[_i].what);
   lc_raft_finish (&r.raft);
 }
 END_TEST
@@ -672,10 +677,10 @@
 
   start (&r, 0, NULL, 0);
   become_leader (&r);
-  answer (&r, PEER, 1);
-  pass (&r, 400000);
+  acknowledge (&r, PEER, 1);
+  advance (&r, 400000);
   ck_assert (lc_raft_is_leader (&r.raft));
-  pass (&r, 200000);
+  advance (&r, 200000);
   ck_assert (!lc_raft_is_leader (&r.raft));
   ck_assert_int_ge (lc_raft_silence_us (&r.raft), 400000);
   lc_raft_finish (&r.raft);
@@ -691,11 +696,11 @@
   become_leader (&r);
   lc_raft_suspend (&r.raft, true, r.now_us);
   ck_assert (!lc_raft_is_leader (&r.raft));
-  pass (&r, 3 * LC_US_PER_S);
+  advance (&r, 3 * LC_US_PER_S);
   ck_assert_int_eq (r.raft.role, LC_RAFT_FOLLOWER);
   receive (&r, vote_request (PEER, 9));
-  store (&r);
-  ck_assert (sent (&r, LC_RAFT_VOTE_REPLY, PEER, &m));
+  persist_all (&r);
+  ck_assert (take_message (&r, LC_RAFT_VOTE_REPLY, PEER, &m));
   ck_assert (!m.vote_reply.is_granted);
   lc_raft_finish (&r.raft);
 }
@@ -703,20 +708,20 @@
 
 /* === faulty peers =========================================================================== */
 
-START_TEST (test_contradiction_of_a_commit_is_refused)
+START_TEST (test_conflict_with_committed_entry_is_rejected)
 {
-  LcRaftEntry kept = { .index = 1, .term = 1, .kind = LC_RAFT_ENTRY_NOOP };
-  LcRaftEntry other = { .index = 1, .term = 2, .kind = LC_RAFT_ENTRY_NOOP };
+  LcRaftEntry committed = { .index = 1, .term = 1, .kind = LC_RAFT_ENTRY_NOOP };
+  LcRaftEntry conflicting = { .index = 1, .term = 2, .kind = LC_RAFT_ENTRY_NOOP };
   LcRaftMessage m = heartbeat (PEER, 1, 1, 1);
   Replica r;
 
-  start (&r, 1, &kept, 1);
+  start (&r, 1, &committed, 1);
   m.append.commit_index = 1;
   receive (&r, m);
   ck_assert_uint_eq (r.raft.commit_index, 1);
   m = heartbeat (PEER, 2, 0, 0);
   m.append.entries = lc_raft_entries_new ();
-  g_array_append_val (m.append.entries, other);
+  g_array_append_val (m.append.entries, conflicting);
   receive (&r, m);
   ck_assert_uint_eq (lc_raft_term_at (&r.raft, 1), 1);
   ck_assert_uint_eq (r.raft.counters.malformed_total, 1);
@@ -734,25 +739,27 @@
   tcase_add_test (tcase, test_vote_waits_for_its_sync);
   tcase_add_test (tcase, test_candidate_waits_for_its_sync);
   tcase_add_test (tcase, test_acknowledgement_waits_for_its_sync);
-  tcase_add_test (tcase, test_older_term_is_not_committed_by_counting);
+  tcase_add_test (tcase, test_older_term_is_not_committed_by_counting_replicas);
   tcase_add_test (tcase, test_learner_does_not_count);
   tcase_add_test (tcase, test_learner_is_promoted_once_caught_up);
   tcase_add_test (tcase, test_learner_without_the_entry_that_named_it_is_not_promoted);
   tcase_add_test (tcase, test_lease_ends);
   tcase_add_test (tcase, test_lease_is_given_up_when_the_clock_goes_back);
-  tcase_add_test (tcase, test_lease_is_given_up_at_hand_over);
-  tcase_add_loop_test (tcase, test_promises, 0, (int)G_N_ELEMENTS (PROMISES));
+  tcase_add_test (tcase, test_lease_ends_with_leadership_transfer);
+  tcase_add_loop_test (tcase, test_votes_under_a_lease, 0, (int)G_N_ELEMENTS (LEASE_VOTES));
   tcase_add_loop_test (tcase, test_trailing, 0, (int)G_N_ELEMENTS (TRAILING));
-  tcase_add_loop_test (tcase, test_all_fresh, 0, (int)G_N_ELEMENTS (FRESH));
+  tcase_add_loop_test (tcase, test_fresh_election_needs_all_voters, 0,
+                       (int)G_N_ELEMENTS (FRESH_ELECTIONS));
   tcase_add_loop_test (tcase, test_fresh_votes, 0, (int)G_N_ELEMENTS (FRESH_VOTES));
-  tcase_add_loop_test (tcase, test_fresh_replicas_yield, 0, (int)G_N_ELEMENTS (YIELDS));
-  tcase_add_loop_test (tcase, test_unbound_replicas_let_a_fresh_one_stand, 0,
-                       (int)G_N_ELEMENTS (UNBOUND));
+  tcase_add_loop_test (tcase, test_only_one_fresh_replica_grants, 0,
+                       (int)G_N_ELEMENTS (PRIORITIES));
+  tcase_add_loop_test (tcase, test_earlier_voters_grant_fresh_request, 0,
+                       (int)G_N_ELEMENTS (EARLIER_VOTERS));
   tcase_add_test (tcase, test_leader_without_quorum_steps_down);
   tcase_add_test (tcase, test_suspended_replica_neither_leads_nor_votes);
-  tcase_add_test (tcase, test_contradiction_of_a_commit_is_refused);
-  tcase_add_loop_test (tcase, test_known_commits_are_applied_at_the_start, 0,
-                       (int)G_N_ELEMENTS (KNOWN_COMMITS));
+  tcase_add_test (tcase, test_conflict_with_committed_entry_is_rejected);
+  tcase_add_loop_test (tcase, test_recovered_commits_are_applied_at_start, 0,
+                       (int)G_N_ELEMENTS (COMMIT_INDEXES));
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
