--- a/src/core/control/lc-bytes.h
+++ b/src/core/control/lc-bytes.h
@@ -1,10 +1,10 @@
-/* lc-bytes: big-endian integers and short strings in byte arrays, for the log's records.
+/* lc-bytes: big-endian integers and short strings in byte arrays, for files of the data folder.
  *
  * HOW TO USE IT
  *   Writing: lc_bytes_put_u64 (array, value);
  *   Reading: LcBytesReader reader = { bytes, len, 0, false };
  *            value = lc_bytes_get_u64 (&reader);
- *   A read past the end gives 0 and sets reader.is_bad, so that a decoder checks once at its end.
+ *   A read past the end returns 0 and sets reader.is_bad, so that a decoder checks once at its end.
  */
 #ifndef LC_BYTES_H
 #define LC_BYTES_H
@@ -44,7 +44,7 @@
   g_byte_array_append (out, (const guint8 *)&big, sizeof big);
 }
 
-/* At most 255 bytes. */
+/* A length byte and the string, truncated to 255 bytes. */
 static inline void
 lc_bytes_put_string (GByteArray *out, const char *text)
 {
@@ -67,7 +67,7 @@
       return NULL;
     }
   if (len == 0)
-    return NOTHING; /* an empty message field may have no bytes at all */
+    return NOTHING; /* reader->bytes may be NULL for empty input */
   at = reader->bytes + reader->at;
   reader->at += len;
   return at;
@@ -103,7 +103,7 @@
   return GUINT64_FROM_BE (big);
 }
 
-/* Bad when the string does not fit with its final NUL. */
+/* Sets is_bad when the string and its NUL do not fit `size`. */
 static inline void
 lc_bytes_get_string (LcBytesReader *reader, char *out, size_t size)
 {
--- a/src/core/control/lc-disk.h
+++ b/src/core/control/lc-disk.h
@@ -1,15 +1,15 @@
-/* lc-disk: the one way in which a process touches its data folder.
+/* lc-disk: the interface to a data folder, a flat folder of files.
  *
  * WHAT IT IS
- *   A flat folder of files.  src/io/lc-disk-posix.c is the real one; tests bring a fake that
- *   drops unsynced writes, tears and reorders them, runs full and flips bits.
+ *   All file access of a process to its data folder.  src/io/lc-disk-posix.c implements it; the
+ *   tests use a fake that drops, tears and reorders unsynced writes, runs full and flips bits.
  *
  * RULES
- *   - What was appended or truncated is durable only after `sync` of that file returned 0.
- *   - That a file exists, was renamed or removed is durable only after `sync_folder` returned 0.
+ *   - An append or truncation is durable only after `sync` of that file returned 0.
+ *   - Creation, renaming or removal of a file is durable only after `sync_folder` returned 0.
  *   - Every function returns 0 or a negative LcErrorCode and fills `error`: LC_ERR_FULL when there
  *     is no space, LC_ERR_IO when the device failed, LC_ERR_NOT_FOUND.
- *   - After an append that failed the file may hold any part of the bytes.
+ *   - After a failed append the file may hold any part of the bytes.
  *
  * THREADS
  *   One thread at a time.
@@ -31,10 +31,10 @@
   typedef struct
   {
     void *user;
-    /* Names of all files, into a GPtrArray of g_free'd strings. */
+    /* Adds the names of all files, as strings to be freed with g_free. */
     int (*list) (void *user, GPtrArray *names, LcError *error);
     int (*read) (void *user, const char *name, GByteArray *bytes, LcError *error);
-    /* Makes the file when it isn't there. */
+    /* Creates the file if it does not exist. */
     int (*append) (void *user, const char *name, const uint8_t *bytes, size_t len, LcError *error);
     int (*truncate) (void *user, const char *name, uint64_t size, LcError *error);
     int (*sync) (void *user, const char *name, LcError *error);
--- a/src/core/control/lc-store-private.h
+++ b/src/core/control/lc-store-private.h
@@ -1,7 +1,7 @@
-/* lc-store-private: what the parts of lc-store share.
+/* lc-store-private: internal declarations shared by the source files of lc-store.
  *
  *   lc-store.c          formatting and writing
- *   lc-store-recover.c  opening: what a crash or a bad disk left
+ *   lc-store-recover.c  opening and recovery
  */
 #ifndef LC_STORE_PRIVATE_H
 #define LC_STORE_PRIVATE_H
@@ -22,7 +22,7 @@
 #define LC_STORE_SNAPSHOT "snapshot"
 #define LC_STORE_DISCARD "discard"
 
-/* The newest segment holds `index`. */
+/* Records that the newest segment holds entries up to `index`. */
 void lc_store__note_end (LcStore *store, uint64_t index);
 
 #endif /* LC_STORE_PRIVATE_H */
--- a/src/core/control/lc-store-recover.c
+++ b/src/core/control/lc-store-recover.c
@@ -16,7 +16,7 @@
   return lc_error_set (error, LC_ERR_CORRUPT, LC_STORE_REPLACE, "%s: %s", name, what);
 }
 
-/* Checks a sealed file and sets the reader after magic and version. */
+/* Checks checksum, magic and version, and sets the reader behind them. */
 static bool
 lc_store__unseal (const GByteArray *bytes, uint32_t magic, LcBytesReader *reader)
 {
@@ -56,7 +56,7 @@
       found->replica = lc_bytes_get_u64 (&reader);
       found->cluster = lc_bytes_get_u64 (&reader);
       if (!lc_store__get_config (&reader, &found->initial) || found->replica == 0)
-        r = lc_store__corrupt (error, LC_STORE_IDENTITY, "its fields make no sense");
+        r = lc_store__corrupt (error, LC_STORE_IDENTITY, "its fields are invalid");
     }
   store->replica = found->replica;
   g_byte_array_unref (bytes);
@@ -77,7 +77,7 @@
       snapshot->index = lc_bytes_get_u64 (&reader);
       snapshot->term = lc_bytes_get_u64 (&reader);
       if (!lc_store__get_config (&reader, &snapshot->config))
-        r = lc_store__corrupt (error, LC_STORE_SNAPSHOT, "its members make no sense");
+        r = lc_store__corrupt (error, LC_STORE_SNAPSHOT, "its members are invalid");
     }
   if (r == 0)
     snapshot->data = g_bytes_new (reader.bytes + reader.at, reader.len - reader.at);
@@ -97,7 +97,7 @@
   const char *name;
   uint64_t last_index; /* newest entry replayed; the next is at most one more */
   bool has_entries;
-  bool is_empty; /* nothing whole was in the segment just read */
+  bool is_empty; /* the segment just read had no valid record */
 } LcStoreReplay;
 
 static int
@@ -107,7 +107,7 @@
   LcRaftEntry copy;
 
   if (replay->has_entries && entry->index > replay->last_index + 1)
-    return lc_store__corrupt (error, replay->name, "entries are missing in it");
+    return lc_store__corrupt (error, replay->name, "it has a gap in its entries");
   while (entries->len > 0 &&
          g_array_index (entries, LcRaftEntry, entries->len - 1).index >= entry->index)
     g_array_set_size (entries, entries->len - 1);
@@ -131,7 +131,7 @@
     case LC_WAL_SEGMENT:
       if (record->segment.number != replay->expected_segment ||
           record->segment.replica != store->replica)
-        return lc_store__corrupt (error, replay->name, "it belongs to another place or replica");
+        return lc_store__corrupt (error, replay->name, "it belongs to another position or replica");
       return 0;
     case LC_WAL_HARD_STATE:
       store->term = record->hard.term;
@@ -152,7 +152,7 @@
   return 0;
 }
 
-/* A write that was never acknowledged left a part: cut it, so that the next one follows whole
+/* Truncates the torn end of an unacknowledged write, so that the next write follows valid
  * records. */
 static int
 lc_store__cut_torn (LcStore *store, const char *name, size_t n_whole, size_t len, LcError *error)
@@ -167,8 +167,8 @@
   return r;
 }
 
-/* A segment that lost its end may lack the term that its first batch repeats: the next write
- * begins a new one. */
+/* Makes the next write start a new segment: one that lost its end may lack the term and vote of its
+ * first batch. */
 static void
 lc_store__retire_segment (LcStore *store)
 {
@@ -206,7 +206,7 @@
   return strcmp (*(const char *const *)a, *(const char *const *)b);
 }
 
-/* A segment whose first bytes never became durable is begun again under the same number. */
+/* Removes a segment whose first record never became durable; its number is used again. */
 static int
 lc_store__drop_empty (LcStore *store, const char *name, LcError *error)
 {
@@ -246,14 +246,14 @@
   return r;
 }
 
-/* Keeps the entries after the snapshot if they continue it; entries that end before it or
- * contradict it were about to be replaced when the process stopped. */
+/* Keeps the entries after the snapshot if they continue it.  Entries that end before it or conflict
+ * with it were about to be replaced when the process stopped. */
 static int
 lc_store__join_snapshot (LcStore *store, LcStoreFound *found, LcError *error)
 {
   GArray *entries = found->entries;
   uint64_t base = found->snapshot.index;
-  guint n_old = 0;
+  guint n_covered = 0;
   bool had_entries = entries->len > 0;
   bool agrees = false;
 
@@ -265,11 +265,11 @@
     {
       const LcRaftEntry *e = &g_array_index (entries, LcRaftEntry, i);
 
-      n_old += e->index <= base ? 1 : 0;
+      n_covered += e->index <= base ? 1 : 0;
       agrees = agrees || (e->index == base && e->term == found->snapshot.term);
     }
   if (agrees)
-    g_array_remove_range (entries, 0, n_old);
+    g_array_remove_range (entries, 0, n_covered);
   else
     g_array_set_size (entries, 0);
   store->needs_reset = (!agrees && had_entries) || (entries->len == 0 && store->last_index != base);
@@ -294,7 +294,7 @@
       *has_snapshot = *has_snapshot || strcmp (name, LC_STORE_SNAPSHOT) == 0;
       if (g_str_has_prefix (name, "wal-"))
         g_ptr_array_add (segments, g_strdup (name));
-      /* A replacement that was never renamed: the old file is in force. */
+      /* A replacement that was never renamed: the old file is valid. */
       if (g_str_has_suffix (name, ".new"))
         (void)disk->remove (disk->user, name, &ignored);
     }
@@ -305,7 +305,7 @@
 
 /* === private: emptying the folder ============================================================ */
 
-/* The mark goes last: as long as it is there, nothing in the folder counts. */
+/* Removes the marker last: while it exists, the other files are ignored. */
 static int
 lc_store__remove_all (LcStore *store, LcError *error)
 {
@@ -400,7 +400,7 @@
   if (r == 0 && has_identity)
     r = lc_store__recover (store, found, segments, has_snapshot, error);
   else if (r == 0 && (segments->len > 0 || has_snapshot))
-    r = lc_store__corrupt (error, LC_STORE_IDENTITY, "it is missing beside a log");
+    r = lc_store__corrupt (error, LC_STORE_IDENTITY, "it is missing, but a log or snapshot exists");
   g_ptr_array_unref (segments);
   return r;
 }
--- a/src/core/control/lc-store.c
+++ b/src/core/control/lc-store.c
@@ -7,7 +7,8 @@
 
 /* === private: errors ======================================================================== */
 
-/* A full disk leaves the store usable; any other failure leaves the folder's state unknown. */
+/* After LC_ERR_FULL the store stays usable; any other error leaves the folder in an unknown
+ * state. */
 static int
 lc_store__failed (LcStore *store, int r)
 {
@@ -27,9 +28,9 @@
   if (!store->is_broken)
     return 0;
   return lc_error_set (error, LC_ERR_IO,
-                       "look at the disk's health, then start the process again: it recovers from "
-                       "what is on the disk",
-                       "the data folder failed before and is not written any more");
+                       "check the disk, then restart the process: it recovers from what is on the "
+                       "disk",
+                       "an earlier write to the data folder failed; no more writes are accepted");
 }
 
 /* === private: whole files =================================================================== */
@@ -40,7 +41,7 @@
   lc_bytes_put_u64 (bytes, XXH3_64bits (bytes->data, bytes->len));
 }
 
-/* Written beside, synced, renamed, and the folder synced: the old or the new file is there. */
+/* Atomic replacement: after a crash either the old or the new file exists. */
 static int
 lc_store__replace_file (LcStore *store, const char *name, const GByteArray *bytes, LcError *error)
 {
@@ -87,7 +88,7 @@
                         const LcRaftConfig *initial,
                         LcError *error)
 {
-  static const LcRaftConfig NOBODY;
+  static const LcRaftConfig NO_MEMBERS;
   GByteArray *bytes = g_byte_array_new ();
   int r;
 
@@ -95,7 +96,7 @@
   lc_bytes_put_u32 (bytes, LC_STORE_VERSION);
   lc_bytes_put_u64 (bytes, store->replica);
   lc_bytes_put_u64 (bytes, cluster);
-  lc_store__put_config (bytes, initial != NULL ? initial : &NOBODY);
+  lc_store__put_config (bytes, initial != NULL ? initial : &NO_MEMBERS);
   lc_store__seal (bytes);
   r = lc_store__replace_file (store, LC_STORE_IDENTITY, bytes, error);
   g_byte_array_unref (bytes);
@@ -145,7 +146,7 @@
   *end = MAX (*end, index);
 }
 
-/* A new segment repeats term and vote, so that older ones may be removed. */
+/* A new segment repeats term and vote, so that older segments can be removed. */
 static int
 lc_store__begin_segment (LcStore *store, LcError *error)
 {
@@ -180,7 +181,7 @@
   return r < 0 ? lc_store__failed (store, r) : 0;
 }
 
-/* Cuts the current segment back to what was acknowledged. */
+/* Truncates the current segment to its last confirmed batch. */
 static int
 lc_store__cut_back (LcStore *store, const char *name)
 {
@@ -205,7 +206,7 @@
   if (r == 0)
     {
       r = disk->sync (disk->user, name, error);
-      /* After a failed fsync nobody knows which pages are on the disk, whatever its reason. */
+      /* After a failed fsync, for whatever reason, it is unknown which pages are on disk. */
       r = r < 0 ? LC_ERR_IO : 0;
     }
   if (r < 0)
@@ -264,7 +265,7 @@
     lc_wal_put_hard_state (bytes, batch, persist->term, persist->vote);
   for (guint i = 0; persist->entries != NULL && i < persist->entries->len; i++)
     lc_wal_put_entry (bytes, batch, &g_array_index (persist->entries, LcRaftEntry, i));
-  /* Last, so that the entries that it speaks of are whole where it is; never a write of its own. */
+  /* Last, so that a torn batch doesn't keep it without its entries; never written on its own. */
   if (persist->entries != NULL && persist->entries->len > 0 && persist->commit_index > 0)
     lc_wal_put_commit (bytes, batch, persist->commit_index);
 }
@@ -308,7 +309,7 @@
   return r;
 }
 
-/* The folder is synced after each removal: were a newer segment's removal durable before an older
+/* Syncs the folder after each removal: if a newer segment's removal became durable before an older
  * one's, the gap would look like a lost segment. */
 static void
 lc_store__remove_segments (LcStore *store)
--- a/src/core/control/lc-wal.c
+++ b/src/core/control/lc-wal.c
@@ -9,7 +9,7 @@
   LC_WAL_LENGTH_AT = 4,
   LC_WAL_BATCH_AT = 8,
   LC_WAL_HASH_AT = 16,
-  /* Records up to this size are tried for a flipped bit: 8 hashes a byte. */
+  /* Bytes searched for a flipped bit, which costs 8 hashes per byte. */
   LC_WAL_REPAIR_BYTES_MAX = 16 << 10,
 };
 
@@ -41,7 +41,7 @@
 
 /* === writing ================================================================================ */
 
-/* Leaves room for the header; returns where the record starts. */
+/* Reserves the header; returns the offset of the record. */
 static guint
 lc_wal__begin (GByteArray *out, LcWalKind kind)
 {
@@ -171,23 +171,23 @@
   return false;
 }
 
-/* The size of the whole record at `bytes`, or 0 and why there is none. */
+/* The size of the valid record at `bytes`, or 0 and the reason why there is none. */
 static size_t
 lc_wal__check (const uint8_t *bytes, size_t len, const char **why)
 {
   uint32_t body_len;
 
-  *why = "it is cut short";
+  *why = "it is truncated";
   if (len < LC_WAL_HEADER_BYTES)
     return 0;
-  *why = "it does not start like a record";
+  *why = "it has no record magic";
   if (lc_wal__u32 (bytes, 0) != LC_WAL_MAGIC)
     return 0;
   body_len = lc_wal__u32 (bytes, LC_WAL_LENGTH_AT);
-  *why = "its length is impossible";
+  *why = "its length is out of range";
   if (body_len == 0 || body_len > LC_WAL_BODY_MAX)
     return 0;
-  *why = "it is cut short";
+  *why = "it is truncated";
   if (len - LC_WAL_HEADER_BYTES < body_len)
     return 0;
   *why = "its checksum does not match";
@@ -207,7 +207,7 @@
   record->batch = lc_wal__u64 (bytes, LC_WAL_BATCH_AT);
   if (lc_wal__read_body (record, bytes + LC_WAL_HEADER_BYTES, n - LC_WAL_HEADER_BYTES))
     return n;
-  *why = "its kind is unknown to this version";
+  *why = "this version does not know its kind";
   return 0;
 }
 
@@ -220,20 +220,20 @@
 
 /* === torn or corrupt ======================================================================== */
 
-/* The batch that the bad record most likely belonged to: what its header says where that is
- * possible, else the one after the last good record's. */
+/* The batch that the invalid record most likely belongs to: that of the last valid record if its
+ * header has this number, else the next one. */
 static uint64_t
 lc_wal__bad_batch (const uint8_t *bytes, size_t len, uint64_t last_batch)
 {
-  uint64_t says;
+  uint64_t header_batch;
 
   if (len < LC_WAL_HEADER_BYTES || lc_wal__u32 (bytes, 0) != LC_WAL_MAGIC)
     return last_batch + 1;
-  says = lc_wal__u64 (bytes, LC_WAL_BATCH_AT);
-  return says == last_batch ? last_batch : last_batch + 1;
+  header_batch = lc_wal__u64 (bytes, LC_WAL_BATCH_AT);
+  return header_batch == last_batch ? last_batch : last_batch + 1;
 }
 
-/* Whether any whole record of a later batch follows. */
+/* Whether a valid record of a later batch follows. */
 static bool
 lc_wal__is_followed (const uint8_t *bytes, size_t len, uint64_t last_batch)
 {
@@ -252,7 +252,7 @@
   return false;
 }
 
-/* Whether one flipped bit explains the bad record. */
+/* Whether flipping a single bit makes the record valid. */
 static bool
 lc_wal__is_flipped (const uint8_t *bytes, size_t len)
 {
@@ -264,17 +264,18 @@
     for (int bit = 0; bit < 8 && !is_found; bit++)
       {
         const char *why;
-        size_t whole;
+        size_t valid_len;
 
         copy[at] ^= (uint8_t)(1U << bit);
-        whole = lc_wal__check (copy, n, &why);
-        is_found = whole > at;
+        valid_len = lc_wal__check (copy, n, &why);
+        is_found = valid_len > at;
         copy[at] ^= (uint8_t)(1U << bit);
       }
   g_free (copy);
   return is_found;
 }
 
+/* LC_ERR_CORRUPT if the invalid record at `at` is corrupt, 0 if it is torn (see the header). */
 static int
 lc_wal__judge (const uint8_t *bytes,
                size_t len,
@@ -298,7 +299,7 @@
   return lc_error_set (error, LC_ERR_CORRUPT,
                        "replace this control VM (`lychee plan replace-control-vm`) and start it "
                        "with an empty data folder; keep the old folder until that is done",
-                       "%s: the record at byte %zu is bad: %s, and %s", name, at, why, cause);
+                       "%s: the record at byte %zu is corrupt: %s, and %s", name, at, why, cause);
 }
 
 int
--- a/src/core/control/lc-wal.h
+++ b/src/core/control/lc-wal.h
@@ -1,4 +1,4 @@
-/* lc-wal: the records of the write-ahead log as bytes.
+/* lc-wal: the record format of the write-ahead log, and its damage detection.
  *
  * WHAT IT IS
  *   A record is
@@ -12,14 +12,15 @@
  * HOW TO USE IT
  *   Writing: lc_wal_put_entry (bytes, batch, &entry);
  *   Reading: n = lc_wal_get (&record, bytes, len, &why);
- *            n > 0: a whole record of n bytes; 0: no whole record starts here (`why` says what is
- *            wrong).  lc_wal_record_finish (&record) drops its references.
+ *            n > 0: a valid record of n bytes; 0: there is none, and `why` is the reason.
+ *            lc_wal_record_finish (&record) releases its references.
  *
  * TORN OR CORRUPT
- *   lc_wal_scan reads a whole segment.  Where a record is bad, what follows decides: if a later
- *   batch is found after it, the bad record was synced before, so the disk lost it: corrupt.  If
- *   turning one bit makes it whole again, a bit was flipped: corrupt.  Otherwise it is the torn
- *   end of a write that was never acknowledged, and is cut.
+ *   lc_wal_scan reads a whole segment.  An invalid record is
+ *     - corrupt, when a newer segment or a valid record of a later batch follows: it was synced
+ *       before that, and the disk lost it,
+ *     - corrupt, when flipping a single bit makes it valid,
+ *     - otherwise the torn end of a write that was never acknowledged, to be truncated.
  */
 #ifndef LC_WAL_H
 #define LC_WAL_H
@@ -40,11 +41,11 @@
 
   typedef enum
   {
-    LC_WAL_SEGMENT = 1,    /* first of each file: its number and the replica it belongs to */
+    LC_WAL_SEGMENT = 1,    /* first record of each file: its number and replica */
     LC_WAL_HARD_STATE = 2, /* term and vote */
-    LC_WAL_ENTRY = 3,      /* replaces the entries from its index on */
-    LC_WAL_RESET = 4,      /* a snapshot replaced the log: entries continue after `index` */
-    LC_WAL_COMMIT = 5,     /* entries up to this index were known to be committed */
+    LC_WAL_ENTRY = 3,      /* replaces all entries from its index on */
+    LC_WAL_RESET = 4,      /* a snapshot replaced the log; entries continue after `index` */
+    LC_WAL_COMMIT = 5,     /* entries up to this index are committed */
   } LcWalKind;
 
   typedef struct
@@ -77,15 +78,14 @@
   void lc_wal_put_hard_state (GByteArray *out, uint64_t batch, uint64_t term, LcReplicaId vote);
   void lc_wal_put_entry (GByteArray *out, uint64_t batch, const LcRaftEntry *entry);
   void lc_wal_put_reset (GByteArray *out, uint64_t batch, uint64_t index, uint64_t term);
-
   void lc_wal_put_commit (GByteArray *out, uint64_t batch, uint64_t commit_index);
 
   size_t lc_wal_get (LcWalRecord *record, const uint8_t *bytes, size_t len, const char **why);
   void lc_wal_record_finish (LcWalRecord *record);
 
-  /* Calls `each` for every whole record.  Returns 0 and how many bytes of `bytes` are whole, or
-   * LC_ERR_CORRUPT with the place. `is_last`: the newest segment, which alone may have a torn
-   * end.  `each` may refuse a record with a negative code, which ends the scan. */
+  /* Calls `each` for every valid record; a negative result ends the scan.  Returns 0 and the number
+   * of valid bytes, or LC_ERR_CORRUPT with the position.  `is_last`: the newest segment, which
+   * alone may have a torn end. */
   typedef int (*LcWalEach) (void *user, const LcWalRecord *record, LcError *error);
   int lc_wal_scan (const uint8_t *bytes,
                    size_t len,
--- a/tests/control/test-store.c
+++ b/tests/control/test-store.c
@@ -1,4 +1,5 @@
-/* The data folder: what a crash or a bad disk leaves is cut, refused or waited for, each named. */
+/* Recovery of the data folder: torn ends are truncated, corruption is refused with a remedy, and a
+ * full disk can be retried. */
 #include "core/control/lc-store.h"
 #include "fakes/lc-fake-disk.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -59,10 +60,10 @@
   lc_store_init (store, &desc);
 }
 
-/* A folder with N_BATCHES batches of two entries each, which bring, if they are told, that all
- * before them is committed. */
+/* A folder with N_BATCHES batches of two entries each, optionally with the commit index: all
+ * entries of the batches before. */
 static LcFakeDisk *
-filled_with (uint32_t segment_bytes, bool tells_commits)
+make_folder_with (uint32_t segment_bytes, bool has_commit_index)
 {
   LcFakeDisk *fake = lc_fake_disk_new (1);
   LcError error = { 0 };
@@ -74,15 +75,16 @@
   lc_store_found_finish (&found);
   ck_assert_int_eq (lc_store_format (&store, REPLICA, &error), 0);
   for (uint64_t i = 0; i < N_BATCHES; i++)
-    ck_assert_int_eq (write_batch (&store, 1 + 2 * i, 2, 3, tells_commits ? 2 * i : 0, &error), 0);
+    ck_assert_int_eq (write_batch (&store, 1 + 2 * i, 2, 3, has_commit_index ? 2 * i : 0, &error),
+                      0);
   lc_store_finish (&store);
   return fake;
 }
 
 static LcFakeDisk *
-filled (uint32_t segment_bytes)
+make_folder (uint32_t segment_bytes)
 {
-  return filled_with (segment_bytes, false);
+  return make_folder_with (segment_bytes, false);
 }
 
 static int
@@ -106,9 +108,9 @@
   return r;
 }
 
-/* === what was known to be committed ========================================================= */
+/* === recovered commit index ================================================================= */
 
-/* A torn end takes the newest batch with it, never what an earlier one says. */
+/* A torn end loses the commit index of the newest batch, not that of earlier ones. */
 START_TEST (test_commit_index_is_recovered)
 {
   static const struct
@@ -120,13 +122,13 @@
   } CASES[] = {
     { "whole", 0, 0, 2 * N_BATCHES - 2 },
     { "in many segments", 0, 400, 2 * N_BATCHES - 2 },
-    { "its own record is torn", 1, 0, 2 * N_BATCHES - 4 },
+    { "the commit record is torn", 1, 0, 2 * N_BATCHES - 4 },
     { "an entry of the batch is torn", 60, 0, 2 * N_BATCHES - 4 },
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (CASES); i++)
     {
-      LcFakeDisk *fake = filled_with (CASES[i].segment_bytes, true);
+      LcFakeDisk *fake = make_folder_with (CASES[i].segment_bytes, true);
       GByteArray *newest = lc_fake_disk_bytes (fake, lc_fake_disk_newest_segment (fake));
       LcError error = { 0 };
       LcStoreFound found;
@@ -149,11 +151,11 @@
 
 typedef enum
 {
-  CUT_END,      /* the last bytes are missing */
-  ZERO_END,     /* the last sector was never written */
-  FLIP_LAST,    /* one bit of the newest batch */
-  FLIP_MIDDLE,  /* one bit in the middle */
-  SMEAR_MIDDLE, /* several bytes in the middle */
+  CUT_END,          /* the last bytes are missing */
+  ZERO_END,         /* the last sector was never written */
+  FLIP_LAST,        /* one bit of the newest batch */
+  FLIP_MIDDLE,      /* one bit in the middle */
+  OVERWRITE_MIDDLE, /* several bytes in the middle */
   FLIP_OLD_SEGMENT,
   FLIP_IDENTITY,
   LOSE_SEGMENT, /* an old segment is gone */
@@ -180,7 +182,7 @@
     case FLIP_MIDDLE:
       newest->data[newest->len / 2] ^= 0x04;
       break;
-    case SMEAR_MIDDLE:
+    case OVERWRITE_MIDDLE:
       memset (newest->data + newest->len / 2, 0xaa, 9);
       break;
     case FLIP_OLD_SEGMENT:
@@ -206,11 +208,11 @@
   int expected;
   uint64_t n_entries;
 } DAMAGES[] = {
-  { "a torn end is cut at the last whole record", CUT_END, 1 << 20, 0, 2 * N_BATCHES - 1 },
-  { "a lost sector at the end is cut", ZERO_END, 1 << 20, 0, 2 * N_BATCHES - 1 },
+  { "a torn end is truncated to the last valid record", CUT_END, 1 << 20, 0, 2 * N_BATCHES - 1 },
+  { "a lost sector at the end is truncated", ZERO_END, 1 << 20, 0, 2 * N_BATCHES - 1 },
   { "a flipped bit in the newest batch is refused", FLIP_LAST, 1 << 20, LC_ERR_CORRUPT, 0 },
   { "a flipped bit in the middle is refused", FLIP_MIDDLE, 1 << 20, LC_ERR_CORRUPT, 0 },
-  { "smeared bytes in the middle are refused", SMEAR_MIDDLE, 1 << 20, LC_ERR_CORRUPT, 0 },
+  { "overwritten bytes in the middle are refused", OVERWRITE_MIDDLE, 1 << 20, LC_ERR_CORRUPT, 0 },
   { "a flipped bit in an old segment is refused", FLIP_OLD_SEGMENT, 300, LC_ERR_CORRUPT, 0 },
   { "a flipped bit in the identity is refused", FLIP_IDENTITY, 1 << 20, LC_ERR_CORRUPT, 0 },
   { "a lost segment is refused", LOSE_SEGMENT, 300, LC_ERR_CORRUPT, 0 },
@@ -219,7 +221,7 @@
 
 START_TEST (test_damage)
 {
-  LcFakeDisk *fake = filled (DAMAGES[_i].segment_bytes);
+  LcFakeDisk *fake = make_folder (DAMAGES[_i].segment_bytes);
   LcError error = { 0 };
   uint64_t n_entries = 0;
   int r;
@@ -230,14 +232,14 @@
   ck_assert_msg (n_entries == DAMAGES[_i].n_entries, "%s: %u entries", DAMAGES[_i].name,
                  (unsigned)n_entries);
   if (r < 0)
-    ck_assert_msg (strlen (error.remedy) > 0, "%s names no remedy", DAMAGES[_i].name);
+    ck_assert_msg (strlen (error.remedy) > 0, "%s: no remedy in the error", DAMAGES[_i].name);
   lc_fake_disk_free (fake);
 }
 END_TEST
 
-START_TEST (test_after_a_torn_end_writing_goes_on)
+START_TEST (test_writes_continue_after_a_torn_end)
 {
-  LcFakeDisk *fake = filled (1 << 20);
+  LcFakeDisk *fake = make_folder (1 << 20);
   LcError error = { 0 };
   LcStoreFound found;
   LcStore store;
@@ -258,9 +260,9 @@
 
 /* === failing writes ========================================================================= */
 
-START_TEST (test_full_disk_is_waited_for)
+START_TEST (test_full_disk_can_be_retried)
 {
-  LcFakeDisk *fake = filled (1 << 20);
+  LcFakeDisk *fake = make_folder (1 << 20);
   LcError error = { 0 };
   LcStoreFound found;
   LcStore store;
@@ -283,9 +285,9 @@
 }
 END_TEST
 
-START_TEST (test_failed_sync_is_never_tried_again)
+START_TEST (test_failed_fsync_is_not_retried)
 {
-  LcFakeDisk *fake = filled (1 << 20);
+  LcFakeDisk *fake = make_folder (1 << 20);
   LcError error = { 0 };
   LcStoreFound found;
   LcStore store;
@@ -312,7 +314,7 @@
 
 START_TEST (test_snapshot_removes_segments)
 {
-  LcFakeDisk *fake = filled (300);
+  LcFakeDisk *fake = make_folder (300);
   LcRaftSnapshot snapshot = { .index = 9, .term = 3 };
   LcError error = { 0 };
   LcStoreFound found;
@@ -337,7 +339,7 @@
 
 START_TEST (test_installed_snapshot_replaces_the_log)
 {
-  LcFakeDisk *fake = filled (1 << 20);
+  LcFakeDisk *fake = make_folder (1 << 20);
   LcRaftPersist persist = { .sequence = 9 };
   LcError error = { 0 };
   LcStoreFound found;
@@ -360,14 +362,14 @@
 }
 END_TEST
 
-/* A folder is emptied; the power is lost after each sync of it in turn.  What is left is the old
- * folder whole, or an empty one: never a log without its identity, or a part of a log. */
+/* Power loss after each sync while a folder is emptied must leave either the complete old folder or
+ * an empty one, never a log without its identity or a part of a log. */
 START_TEST (test_discard)
 {
   for (int64_t n_syncs = 0; n_syncs < 6; n_syncs++)
     for (uint64_t seed = 1; seed <= 8; seed++)
       {
-        LcFakeDisk *fake = filled (512);
+        LcFakeDisk *fake = make_folder (512);
         LcError error = { 0 };
         LcStoreFound found;
         LcStore store;
@@ -401,9 +403,9 @@
 
   tcase_add_test (tcase, test_discard);
   tcase_add_loop_test (tcase, test_damage, 0, (int)G_N_ELEMENTS (DAMAGES));
-  tcase_add_test (tcase, test_after_a_torn_end_writing_goes_on);
-  tcase_add_test (tcase, test_full_disk_is_waited_for);
-  tcase_add_test (tcase, test_failed_sync_is_never_tried_again);
+  tcase_add_test (tcase, test_writes_continue_after_a_torn_end);
+  tcase_add_test (tcase, test_full_disk_can_be_retried);
+  tcase_add_test (tcase, test_failed_fsync_is_not_retried);
   tcase_add_test (tcase, test_snapshot_removes_segments);
   tcase_add_test (tcase, test_installed_snapshot_replaces_the_log);
   tcase_add_test (tcase, test_commit_index_is_recovered);
