--- a/src/core/control/lc-heal.c
+++ b/src/core/control/lc-heal.c
@@ -3,15 +3,15 @@
 #include <glib.h>
 #include <string.h>
 
-/* A replica counts as there while it was heard within this time: two greetings, and a little. */
+/* A replica counts as alive for this long after its last message: two hellos and a margin. */
 #define LC_HEAL_HERE_US (1 * LC_US_PER_S)
 #define LC_HEAL_GONE_US (2 * LC_US_PER_S)
-/* A learner that is silent for so long is given up: another may stand by. */
+/* A learner that is silent for this long is removed, so that a standby can take its place. */
 #define LC_HEAL_LEARNER_US (10 * LC_US_PER_S)
-/* Twice that time: a leader that took it in would have sent it the log, or given it up. */
+/* Twice that time: by then a leader that added it has sent it the log or removed it. */
 #define LC_HEAL_FORGOTTEN_US (2 * LC_HEAL_LEARNER_US)
 
-/* === private: who is there ================================================================== */
+/* === private: replicas ====================================================================== */
 
 static const LcHealSeen *
 lc_heal__find (const LcHealSeen *seen, uint32_t n, LcReplicaId id)
@@ -30,7 +30,7 @@
   return s != NULL ? s->silent_us : INT64_MAX;
 }
 
-/* Who speaks from the member's address instead of it, or NULL. */
+/* The live replica that uses the member's address in its place, or NULL. */
 static const LcHealSeen *
 lc_heal__successor (const LcRaftMember *member, const LcHealSeen *seen, uint32_t n)
 {
@@ -69,7 +69,7 @@
   return NULL;
 }
 
-/* One learner at a time. */
+/* There is at most one learner: promotes it, or removes it when it failed. */
 static bool
 lc_heal__learner_step (const LcRaftMember *learner,
                        const LcHealSeen *seen,
@@ -86,7 +86,7 @@
   return false;
 }
 
-/* A member that has lost its disk: another replica speaks from its address. */
+/* Replaces a member whose address is used by another replica: it has lost its disk. */
 static bool
 lc_heal__lost_step (const LcHealDesc *desc,
                     const LcRaftConfig *config,
@@ -109,14 +109,14 @@
   return false;
 }
 
-/* The voter that has been silent the longest, if that is long enough. */
+/* The voter with the longest silence, if that is over the limit, or NULL. */
 static const LcRaftMember *
 lc_heal__gone (const LcHealDesc *desc,
                const LcRaftConfig *config,
                const LcHealSeen *seen,
                uint32_t n_seen)
 {
-  int64_t longest_us = (desc->gone_us != 0 ? desc->gone_us : LC_HEAL_GONE_US) - 1;
+  int64_t longest_us = (desc->replace_after_us != 0 ? desc->replace_after_us : LC_HEAL_GONE_US) - 1;
   const LcRaftMember *gone = NULL;
 
   for (uint32_t i = 0; i < config->n_members; i++)
--- a/src/core/control/lc-heal.h
+++ b/src/core/control/lc-heal.h
@@ -1,17 +1,17 @@
-/* lc-heal: the next change of members that keeps the replicated log at its number of voters.
+/* lc-heal: automatic replacement of failed members of the Raft group.
  *
  * WHAT IT IS
- *   Control VMs lose their disks, or are replaced by empty ones at another address.  The leader
- *   sees who stands at which address, who is silent, and who is blank (has an empty data folder and
- *   belongs to no cluster), and asks here what to change.  Changes are made one at a time, each
- * from what the log says then, so that a new leader goes on where the old one stopped.
- *     - A member whose address another replica now speaks from has lost its disk for good: the
- *       other, if blank, is taken in as a learner, made a voter when it has caught up, and the lost
- *       one is removed.
- *     - A voter that stays silent is replaced in the same way by a blank one that stands by at an
- *       address of its own.
- *   A blank replica never votes before it has been taken in: its random id is in no list of
- * members.
+ *   Control VMs lose their disks, or are replaced by empty ones at another address.  From the
+ *   replicas that the leader has contact with, lc_heal_next derives the next configuration change
+ *   that brings the group back to its number of voters:
+ *     - A member has lost its disk when another replica uses its address.  That one, if blank (with
+ *       an empty data folder, in no cluster), is added as a learner and promoted when it has caught
+ *       up; then the lost member is removed.
+ *     - A silent voter is replaced in the same way by a standby: a blank replica at an address of
+ *       its own.
+ *   Changes are made one at a time, each derived from the configuration in the log, so that a new
+ *   leader continues where the old one stopped.  A blank replica never votes before it was added:
+ *   its random id is in no configuration.
  *
  * HOW TO USE IT
  *     LcHealChange change;
@@ -22,8 +22,8 @@
  *   Plain values.
  *
  * LIMITS
- *   The newcomer is made a voter before the lost one is removed: for that moment a majority of one
- *   voter more is needed.  Removing first would leave fewer live copies on the way.
+ *   The new member is promoted before the lost one is removed, so in between a quorum is counted
+ *   with one voter more.  Removing first would leave fewer live copies in between.
  */
 #ifndef LC_HEAL_H
 #define LC_HEAL_H
@@ -35,23 +35,23 @@
 {
 #endif
 
-  /* What the leader knows of a replica, member or not. */
+  /* A replica as observed by the leader, member or not. */
   typedef struct
   {
     LcReplicaId id;
-    uint32_t ipv4; /* where it listens */
+    uint32_t ipv4; /* its peer address */
     uint16_t port;
-    bool is_blank;      /* it says that it belongs to no cluster */
-    bool has_caught_up; /* members: its copy of the log is as good as whole */
-    int64_t silent_us;  /* since it was heard; INT64_MAX: never */
+    bool is_blank;      /* it reports that it is in no cluster */
+    bool has_caught_up; /* members: lc_raft_has_caught_up */
+    int64_t silent_us;  /* since its last message; INT64_MAX: none yet */
     char name[LC_NAME_MAX];
   } LcHealSeen;
 
   typedef struct
   {
-    LcReplicaId self;  /* the leader: never removed */
-    uint32_t n_voters; /* wanted */
-    int64_t gone_us;   /* 0: 2 s; a voter silent for so long is replaced if another stands by */
+    LcReplicaId self;         /* the leader, which is never removed */
+    uint32_t n_voters;        /* target */
+    int64_t replace_after_us; /* 0: 2 s; silence after which a voter is replaced by a standby */
   } LcHealDesc;
 
   typedef struct
@@ -60,21 +60,21 @@
     LcRaftMember member;
   } LcHealChange;
 
-  /* A member's own knowledge of its membership. */
+  /* A replica's own view of its membership. */
   typedef struct
   {
     LcReplicaId id;
     const LcRaftConfig *members; /* newest in its log, committed or not */
     uint64_t members_index;      /* lc_raft_config_as_of */
-    int64_t silent_us;           /* since it heard a leader, or since it joined if it never did */
+    int64_t silent_us;           /* since leader contact, or since it joined if there was none */
   } LcHealSelf;
 
-  /* Whether committed members, as of `index`, prove that the cluster goes on without this replica,
-   * which may then empty its folder.  News of its removal must be later than what took it in: a
-   * member that lags, or whose log begins after a snapshot, names older members.  One that never
-   * got the log has nothing to compare; it is given up by its own silence (20 s) alone. */
+  /* Whether the committed members as of `index` prove that this replica was removed, so that it may
+   * empty its folder.  They must be newer than the configuration that added it: a member that lags,
+   * or whose log begins after a snapshot, reports older ones.  A replica that never received the
+   * log can't compare; it counts as removed after 20 s without a leader. */
   bool lc_heal_is_removed (const LcHealSelf *self, const LcRaftConfig *members, uint64_t index);
-  /* False: nothing is to be changed now. */
+  /* The next change; false: none is needed or possible now. */
   bool lc_heal_next (const LcHealDesc *desc,
                      const LcRaftConfig *config,
                      const LcHealSeen *seen,
--- a/tests/control/test-heal.c
+++ b/tests/control/test-heal.c
@@ -1,4 +1,4 @@
-/* Which member is added, promoted or removed next: a table of what the leader sees. */
+/* The next configuration change for each combination of members and observed replicas. */
 #include "core/control/lc-heal.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -7,13 +7,13 @@
 
 enum
 {
-  SELF = 1,
+  LEADER = 1,
   N_VOTERS = 3,
   NEVER = -1,
-  HERE = 0,
+  ALIVE = 0,
 };
 
-/* A member or another replica.  Its address is `at`; id 0 ends a list. */
+/* `at` is the peer address; id 0 ends a list. */
 typedef struct
 {
   LcReplicaId id;
@@ -28,19 +28,19 @@
   int64_t silent_ms; /* NEVER */
   bool is_blank;
   bool has_caught_up;
-} Seen;
+} Observed;
 
 typedef struct
 {
   const char *what;
   Member members[5];
-  Seen seen[5];
+  Observed observed[5];
   LcRaftChange change; /* 0: none */
   LcReplicaId id;
   uint32_t n_voters; /* 0: N_VOTERS */
 } Case;
 
-#define THREE                                                                                      \
+#define THREE_MEMBERS                                                                              \
   {                                                                                                \
     { 1, 1 }, { 2, 2 },                                                                            \
     {                                                                                              \
@@ -49,122 +49,126 @@
   }
 
 static const Case CASES[] = {
-  { "all are there", THREE, { { 2, 2, HERE }, { 3, 3, HERE } }, 0, 0 },
-  { "one is silent, nobody stands by", THREE, { { 2, 2, HERE }, { 3, 3, 60000 } }, 0, 0 },
-  { "one never spoke, nobody stands by", THREE, { { 2, 2, HERE } }, 0, 0 },
-  { "one stands by, nobody is silent",
-    THREE,
-    { { 2, 2, HERE }, { 3, 3, HERE }, { 9, 9, HERE, true } },
+  { "all members alive", THREE_MEMBERS, { { 2, 2, ALIVE }, { 3, 3, ALIVE } }, 0, 0 },
+  { "one silent, no standby", THREE_MEMBERS, { { 2, 2, ALIVE }, { 3, 3, 60000 } }, 0, 0 },
+  { "one without contact, no standby", THREE_MEMBERS, { { 2, 2, ALIVE } }, 0, 0 },
+  { "a standby, no silent member",
+    THREE_MEMBERS,
+    { { 2, 2, ALIVE }, { 3, 3, ALIVE }, { 9, 9, ALIVE, true } },
     0,
     0 },
-  { "a lost disk", THREE, { { 2, 2, HERE }, { 9, 3, HERE, true } }, LC_RAFT_ADD_LEARNER, 9 },
-  { "a lost disk, and the old word still there",
-    THREE,
-    { { 2, 2, HERE }, { 3, 3, 100 }, { 9, 3, HERE, true } },
+  { "a lost disk",
+    THREE_MEMBERS,
+    { { 2, 2, ALIVE }, { 9, 3, ALIVE, true } },
     LC_RAFT_ADD_LEARNER,
     9 },
-  { "a blank one spoke at a member's address, but long ago",
-    THREE,
-    { { 2, 2, HERE }, { 9, 3, 5000, true } },
+  { "a lost disk, and the old replica not silent yet",
+    THREE_MEMBERS,
+    { { 2, 2, ALIVE }, { 3, 3, 100 }, { 9, 3, ALIVE, true } },
+    LC_RAFT_ADD_LEARNER,
+    9 },
+  { "a blank replica at a member's address, but silent for long",
+    THREE_MEMBERS,
+    { { 2, 2, ALIVE }, { 9, 3, 5000, true } },
     0,
     0 },
   { "another cluster's replica at a member's address",
-    THREE,
-    { { 2, 2, HERE }, { 9, 3, HERE, false } },
+    THREE_MEMBERS,
+    { { 2, 2, ALIVE }, { 9, 3, ALIVE, false } },
     0,
     0 },
-  { "a learner that is behind",
+  { "a learner that has not caught up",
     { { 1, 1 }, { 2, 2 }, { 3, 3 }, { 9, 3, true } },
-    { { 2, 2, HERE }, { 9, 3, HERE } },
+    { { 2, 2, ALIVE }, { 9, 3, ALIVE } },
     0,
     0 },
   { "a learner that has caught up",
     { { 1, 1 }, { 2, 2 }, { 3, 3 }, { 9, 3, true } },
-    { { 2, 2, HERE }, { 9, 3, HERE, false, true } },
+    { { 2, 2, ALIVE }, { 9, 3, ALIVE, false, true } },
     LC_RAFT_PROMOTE,
     9 },
-  { "a learner that has caught up and fell silent",
+  { "a learner that has caught up, but is silent",
     { { 1, 1 }, { 2, 2 }, { 3, 3 }, { 9, 3, true } },
-    { { 2, 2, HERE }, { 9, 3, 3000, false, true } },
+    { { 2, 2, ALIVE }, { 9, 3, 3000, false, true } },
     0,
     0 },
-  { "a learner that has caught up, and a blank replica speaks from its address",
+  { "a learner that has caught up, but a blank replica uses its address",
     { { 1, 1 }, { 2, 2 }, { 3, 3 }, { 9, 3, true } },
-    { { 2, 2, HERE }, { 9, 3, 100, false, true }, { 10, 3, HERE, true } },
+    { { 2, 2, ALIVE }, { 9, 3, 100, false, true }, { 10, 3, ALIVE, true } },
     LC_RAFT_REMOVE,
     9 },
-  { "a learner that is gone for long",
+  { "a learner that is silent for long",
     { { 1, 1 }, { 2, 2 }, { 3, 3 }, { 9, 3, true } },
-    { { 2, 2, HERE }, { 9, 3, 11000 } },
+    { { 2, 2, ALIVE }, { 9, 3, 11000 } },
     LC_RAFT_REMOVE,
     9 },
-  { "a learner that lost its disk in turn",
+  { "a learner that lost its disk",
     { { 1, 1 }, { 2, 2 }, { 3, 3 }, { 9, 3, true } },
-    { { 2, 2, HERE }, { 9, 3, 500 }, { 10, 3, HERE, true } },
+    { { 2, 2, ALIVE }, { 9, 3, 500 }, { 10, 3, ALIVE, true } },
     LC_RAFT_REMOVE,
     9 },
-  { "the newcomer votes: the lost one goes",
+  { "the new member votes: the lost one is removed",
     { { 1, 1 }, { 2, 2 }, { 3, 3 }, { 9, 3 } },
-    { { 2, 2, HERE }, { 9, 3, HERE, false, true } },
+    { { 2, 2, ALIVE }, { 9, 3, ALIVE, false, true } },
     LC_RAFT_REMOVE,
     3 },
-  { "a member replaced at another address",
-    THREE,
-    { { 2, 2, HERE }, { 3, 3, 2500 }, { 9, 9, HERE, true } },
+  { "a silent voter, and a standby",
+    THREE_MEMBERS,
+    { { 2, 2, ALIVE }, { 3, 3, 2500 }, { 9, 9, ALIVE, true } },
     LC_RAFT_ADD_LEARNER,
     9 },
-  { "it may still come back",
-    THREE,
-    { { 2, 2, HERE }, { 3, 3, 1500 }, { 9, 9, HERE, true } },
+  { "a voter not yet silent for long enough",
+    THREE_MEMBERS,
+    { { 2, 2, ALIVE }, { 3, 3, 1500 }, { 9, 9, ALIVE, true } },
     0,
     0 },
-  { "the one that stood by is gone, too",
-    THREE,
-    { { 2, 2, HERE }, { 3, 3, 2500 }, { 9, 9, 2000, true } },
+  { "a silent voter, and a silent standby",
+    THREE_MEMBERS,
+    { { 2, 2, ALIVE }, { 3, 3, 2500 }, { 9, 9, 2000, true } },
     0,
     0 },
-  { "one voter too many, and one silent",
+  { "one voter too many, one silent",
     { { 1, 1 }, { 2, 2 }, { 3, 3 }, { 9, 9 } },
-    { { 2, 2, HERE }, { 3, 3, 2500 }, { 9, 9, HERE, false, true } },
+    { { 2, 2, ALIVE }, { 3, 3, 2500 }, { 9, 9, ALIVE, false, true } },
     LC_RAFT_REMOVE,
     3 },
-  { "one voter too many, and all there",
+  { "one voter too many, all alive",
     { { 1, 1 }, { 2, 2 }, { 3, 3 }, { 9, 9 } },
-    { { 2, 2, HERE }, { 3, 3, HERE }, { 9, 9, HERE, false, true } },
+    { { 2, 2, ALIVE }, { 3, 3, ALIVE }, { 9, 9, ALIVE, false, true } },
     0,
     0 },
-  { "a voter too few, and one stands by",
+  { "one voter too few, a standby",
     { { 1, 1 }, { 2, 2 } },
-    { { 2, 2, HERE }, { 9, 9, HERE, true } },
+    { { 2, 2, ALIVE }, { 9, 9, ALIVE, true } },
     LC_RAFT_ADD_LEARNER,
     9 },
-  { "the leader's own address is never given away",
-    THREE,
-    { { 2, 2, HERE }, { 3, 3, HERE }, { 9, 1, HERE, true } },
+  { "a blank replica at the leader's own address",
+    THREE_MEMBERS,
+    { { 2, 2, ALIVE }, { 3, 3, ALIVE }, { 9, 1, ALIVE, true } },
     0,
     0 },
-  { "five are wanted, three formed it",
-    THREE,
-    { { 2, 2, HERE }, { 3, 3, HERE }, { 8, 8, HERE, true }, { 9, 9, HERE, true } },
+  { "target of five, formed by three",
+    THREE_MEMBERS,
+    { { 2, 2, ALIVE }, { 3, 3, ALIVE }, { 8, 8, ALIVE, true }, { 9, 9, ALIVE, true } },
     LC_RAFT_ADD_LEARNER,
     8,
     5 },
-  { "five are wanted, and one of three is silent: it stays until there are more",
-    THREE,
-    { { 2, 2, HERE }, { 3, 3, 9000 }, { 9, 9, HERE, true } },
+  { "target of five, one of three silent: it stays until there are more voters",
+    THREE_MEMBERS,
+    { { 2, 2, ALIVE }, { 3, 3, 9000 }, { 9, 9, ALIVE, true } },
     LC_RAFT_ADD_LEARNER,
     9,
     5 },
-  { "five are wanted, nobody stands by", THREE, { { 2, 2, HERE }, { 3, 3, 9000 } }, 0, 0, 5 },
+  { "target of five, no standby", THREE_MEMBERS, { { 2, 2, ALIVE }, { 3, 3, 9000 } }, 0, 0, 5 },
 };
 
-START_TEST (test_next)
+START_TEST (test_next_change)
 {
   const Case *c = &CASES[_i];
-  LcHealDesc desc = { .self = SELF, .n_voters = c->n_voters != 0 ? c->n_voters : N_VOTERS };
+  LcHealDesc desc = { .self = LEADER, .n_voters = c->n_voters != 0 ? c->n_voters : N_VOTERS };
   LcRaftConfig config = { 0 };
-  LcHealSeen seen[5] = { 0 };
-  uint32_t n_seen = 0;
+  LcHealSeen observed[5] = { 0 };
+  uint32_t n_observed = 0;
   LcHealChange change = { 0 };
   bool is_change;
 
@@ -178,16 +182,17 @@
       (void)strcpy (m.name, "control");
       ck_assert_int_eq (lc_raft_config_put (&config, &m), 0);
     }
-  for (int i = 0; i < 5 && c->seen[i].id != 0; i++)
-    seen[n_seen++] = (LcHealSeen){
-      .id = c->seen[i].id,
-      .ipv4 = c->seen[i].at,
+  for (int i = 0; i < 5 && c->observed[i].id != 0; i++)
+    observed[n_observed++] = (LcHealSeen){
+      .id = c->observed[i].id,
+      .ipv4 = c->observed[i].at,
       .port = 7000,
-      .is_blank = c->seen[i].is_blank,
-      .has_caught_up = c->seen[i].has_caught_up,
-      .silent_us = c->seen[i].silent_ms == NEVER ? INT64_MAX : c->seen[i].silent_ms * LC_US_PER_MS,
+      .is_blank = c->observed[i].is_blank,
+      .has_caught_up = c->observed[i].has_caught_up,
+      .silent_us =
+          c->observed[i].silent_ms == NEVER ? INT64_MAX : c->observed[i].silent_ms * LC_US_PER_MS,
     };
-  is_change = lc_heal_next (&desc, &config, seen, n_seen, &change);
+  is_change = lc_heal_next (&desc, &config, observed, n_observed, &change);
   ck_assert_msg (is_change == (c->change != 0), "%s: %d", c->what, change.kind);
   if (is_change)
     ck_assert_msg (change.kind == c->change && change.member.id == c->id, "%s: %d of %u", c->what,
@@ -195,57 +200,58 @@
 }
 END_TEST
 
-/* What a replica knows of its own membership, and committed members that it is told of. */
+/* A replica must detect its removal from reported members, but not from members older than its
+ * own. */
 typedef struct
 {
   const char *what;
   Member own[3];
   uint64_t own_index;
   int64_t silent_ms;
-  Member told[3];
-  uint64_t told_index;
+  Member reported[3];
+  uint64_t reported_index;
   bool is_removed;
 } RemovedCase;
 
 static const RemovedCase REMOVED_CASES[] = {
-  { "named by its own log, left out by a later change",
+  { "in its own members, not in later ones",
     { { 1, 1 }, { 2, 2 } },
     40,
     0,
     { { 2, 2 } },
     41,
     true },
-  { "left out by what its own log is later than",
+  { "in its own members, not in older ones",
     { { 1, 1 }, { 2, 2 } },
     40,
     0,
     { { 2, 2 } },
     39,
     false },
-  { "left out by what its own log is as new as",
+  { "in its own members, not in others of the same index",
     { { 1, 1 }, { 2, 2 } },
     40,
     0,
     { { 2, 2 } },
     40,
     false },
-  { "named by later members", { { 1, 1 }, { 2, 2 } }, 40, 0, { { 1, 1 }, { 3, 3 } }, 60, false },
-  { "joined just now, has no log yet, and a member that lags names the members before",
+  { "in later members", { { 1, 1 }, { 2, 2 } }, 40, 0, { { 1, 1 }, { 3, 3 } }, 60, false },
+  { "just joined without a log yet, and a lagging member reports older members",
     { { 0 } },
     0,
     200,
     { { 2, 2 } },
     39,
     false },
-  { "joined, and no leader ever sent it the log", { { 0 } }, 0, 21000, { { 2, 2 } }, 39, true },
-  { "its log does not reach the entry that named it",
+  { "joined, but never received the log", { { 0 } }, 0, 21000, { { 2, 2 } }, 39, true },
+  { "its log does not yet contain the entry that added it",
     { { 2, 2 }, { 3, 3 } },
     30,
     200,
     { { 2, 2 } },
     39,
     false },
-  { "told of no members", { { 1, 1 }, { 2, 2 } }, 40, 0, { { 0 } }, 60, false },
+  { "no members reported", { { 1, 1 }, { 2, 2 } }, 40, 0, { { 0 } }, 60, false },
 };
 
 static void
@@ -259,16 +265,17 @@
     }
 }
 
-START_TEST (test_removed)
+START_TEST (test_removal_is_detected)
 {
   const RemovedCase *c = &REMOVED_CASES[_i];
   LcRaftConfig own = { 0 };
-  LcRaftConfig told = { 0 };
-  LcHealSelf self = { SELF, &own, c->own_index, c->silent_ms * LC_US_PER_MS };
+  LcRaftConfig reported = { 0 };
+  LcHealSelf self = { LEADER, &own, c->own_index, c->silent_ms * LC_US_PER_MS };
 
   put_members (&own, c->own, 3);
-  put_members (&told, c->told, 3);
-  ck_assert_msg (lc_heal_is_removed (&self, &told, c->told_index) == c->is_removed, "%s", c->what);
+  put_members (&reported, c->reported, 3);
+  ck_assert_msg (lc_heal_is_removed (&self, &reported, c->reported_index) == c->is_removed, "%s",
+                 c->what);
 }
 END_TEST
 
@@ -278,8 +285,8 @@
   Suite *suite = suite_create ("heal");
   TCase *tcase = tcase_create ("heal");
 
-  tcase_add_loop_test (tcase, test_next, 0, (int)(sizeof CASES / sizeof CASES[0]));
-  tcase_add_loop_test (tcase, test_removed, 0,
+  tcase_add_loop_test (tcase, test_next_change, 0, (int)(sizeof CASES / sizeof CASES[0]));
+  tcase_add_loop_test (tcase, test_removal_is_detected, 0,
                        (int)(sizeof REMOVED_CASES / sizeof REMOVED_CASES[0]));
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
