--- a/src/control/lc-control-http-status.c
+++ b/src/control/lc-control-http-status.c
@@ -22,7 +22,7 @@
                                                                         : "voter"));
   if (p != NULL)
     {
-      int64_t silent_us = replica->raft.clock_us - p->heard_clock_us;
+      int64_t silent_us = replica->raft.clock_us - p->reply_clock_us;
 
       (void)json_object_set_new (one, "behind",
                                  json_integer ((json_int_t)lc_raft_last_index (&replica->raft) -
--- a/src/control/lc-replica-form.c
+++ b/src/control/lc-replica-form.c
@@ -187,7 +187,7 @@
   if (progress != NULL)
     {
       seen->has_caught_up = lc_raft_has_caught_up (&replica->raft, peer->id);
-      seen->silent_us = MIN (heard_us, replica->raft.clock_us - progress->heard_clock_us);
+      seen->silent_us = MIN (heard_us, replica->raft.clock_us - progress->reply_clock_us);
     }
   (void)g_strlcpy (seen->name, peer->name, sizeof seen->name);
 }
--- a/src/control/lc-replica-peers.c
+++ b/src/control/lc-replica-peers.c
@@ -336,7 +336,7 @@
 {
   const LcRaftProgress *progress = lc_raft_progress (&replica->raft, peer->id);
   bool is_sure =
-      progress != NULL && replica->raft.clock_us - progress->heard_clock_us < LC_REPLICA_SURE_US;
+      progress != NULL && replica->raft.clock_us - progress->reply_clock_us < LC_REPLICA_SURE_US;
 
   if (!is_sure)
     lc_replica__say_hello (peer, lc_link_client_link (&peer->client));
--- a/src/core/control/lc-raft-leader.c
+++ b/src/core/control/lc-raft-leader.c
@@ -27,7 +27,7 @@
   memset (p, 0, sizeof *p);
   p->id = id;
   p->next_index = lc_raft_last_index (raft) + 1;
-  p->heard_clock_us = raft->clock_us;
+  p->reply_clock_us = raft->clock_us;
   p->is_probing = true;
 }
 
@@ -213,7 +213,7 @@
 static int64_t
 lc_raft__heard_of (const LcRaftProgress *p)
 {
-  return p->heard_clock_us;
+  return p->reply_clock_us;
 }
 
 static int64_t
@@ -290,7 +290,7 @@
 
   if (p == NULL)
     return NULL;
-  p->heard_clock_us = raft->clock_us;
+  p->reply_clock_us = raft->clock_us;
   if (sent_us <= raft->now_us)
     p->acked_sent_us = MAX (p->acked_sent_us, sent_us);
   return p;
--- a/src/core/control/lc-raft.h
+++ b/src/core/control/lc-raft.h
@@ -83,7 +83,7 @@
     uint64_t snapshot_offset;
     LcRaftSnapshot sending; /* index 0: none */
     int64_t acked_sent_us;  /* now_us at which the newest acknowledged message was sent */
-    int64_t heard_clock_us; /* clock_us of the last reply */
+    int64_t reply_clock_us; /* clock_us of the last reply */
     int64_t sent_clock_us;  /* clock_us of the last message sent */
     bool is_probing;        /* one message at a time until a matching index is found */
     bool is_waiting;        /* probe or chunk: a reply is outstanding */
