--- a/src/core/control/lc-control-plan.h
+++ b/src/core/control/lc-control-plan.h
@@ -7,7 +7,7 @@
  * HOW TO USE IT
  *     LcPlanWork builder;
  *     lc_plan_work_init (&builder, &state);
- *     r = lc_plan_work_run (&builder, &intent, &error);     LC_ERR_REFUSED names what would break
+ *     r = lc_plan_work_run (&builder, &intent, &error);     LC_ERR_REFUSED: unsafe
  *     builder.ops, builder.steps, builder.breaks ...
  *     lc_plan_work_finish (&builder);
  */
--- a/src/core/control/lc-raft.h
+++ b/src/core/control/lc-raft.h
@@ -16,7 +16,7 @@
  *     while (lc_raft_take_message (&raft, &message, now_us))
  *       ... send it, then lc_raft_message_finish (&message)
  *     if (lc_raft_take_snapshot (&raft, &snapshot))       load it into the state machine
- *     while ((entry = lc_raft_next_committed (&raft)))    apply it, then lc_raft_applied (&raft)
+ *     while ((entry = lc_raft_next_committed (&raft)))  apply it, then lc_raft_applied (&raft)
  *     lc_raft_finish (&raft);
  *
  * GUARANTEES
