--- a/tests/control/test_processes.py
+++ b/tests/control/test_processes.py
@@ -500,15 +500,15 @@
         self.wait("it passes calls on", passed_on)
 
     def check_no_disk(self):
-        """A control VM without a disk must never vote, and must redirect operators to one that does."""
+        """A control VM without a disk must never vote, and must redirect operators to a voter."""
         self.settled()
         relay = self.relays([7], self.vms[:3])[0]
         self.wait_passed_on(relay)
         self.assertNotIn(relay.name, self.voters(self.settled()))
 
     def check_settings_name_only_vms_without_disks(self):
-        """They must learn the others, which send hellos to the VMs of their settings: at a start, and
-        when the settings change."""
+        """They must learn the others, which send hellos to the VMs of their settings: at a start,
+        and when the settings change."""
         self.settled()
         relays = self.relays([7, 8])
         for vm in self.vms[:self.n_vms]:
