--- a/src/core/flow/lc-assign.c
+++ b/src/core/flow/lc-assign.c
@@ -9,8 +9,8 @@
   LC_ASSIGN_SPILLOVER_PERMILLE = 100,
   LC_ASSIGN_STATIC_THRESHOLD = 50,
   LC_ASSIGN_SAMPLE = 16,
-  LC_ASSIGN_BYTES_USUAL_PERMILLE = 1150, /* of the mean: a byte rate that is not yet noticed */
-  LC_ASSIGN_RAMP_FIRST_PERMILLE = 100,   /* share of its capacity that a cold start begins with */
+  LC_ASSIGN_BYTES_USUAL_PERMILLE = 1150, /* of the mean; byte rates up to this add no load */
+  LC_ASSIGN_RAMP_FIRST_PERMILLE = 100,
   LC_ASSIGN_MAX_ELIGIBLE = 64,
 };
 
@@ -84,8 +84,8 @@
   return (uint64_t)p->byte_rate * 1000U / lc_assign_capacity (a, p, now_us);
 }
 
-/* Load per capacity after one more flow, in thousandths of a flow.  A second dimension, the byte
- * rate, adds to it where it is well above the mean: below that, differences are noise. */
+/* Load per capacity after one more flow, in thousandths of a flow.  The byte rate adds to it only
+ * where it is well above the mean: below that, differences are noise. */
 static uint64_t
 lc_assign__load (const LcAssign *a, const LcAssignPeer *p, int64_t now_us)
 {
@@ -109,7 +109,7 @@
   uint32_t n_bad;
 } LcAssignEligible;
 
-/* It told its load before and is silent now: the agent, or the way to it, is gone. */
+/* It reported before and stopped: the agent, or the network path to it, is down. */
 static bool
 lc_assign__is_stale (const LcAssign *a, const LcAssignPeer *p, int64_t now_us)
 {
@@ -143,7 +143,8 @@
   return true;
 }
 
-/* Of a large service a sample is weighed: self and a run of peers from a changing place. */
+/* Of a large service only a sample is compared: self and consecutive peers from a pseudo-random
+ * start. */
 static void
 lc_assign__collect (
     LcAssign *a, uint64_t key_hash, LcRegionMask regions, int64_t now_us, LcAssignEligible *out)
@@ -175,7 +176,7 @@
     }
 }
 
-/* The guard: a sign of trouble that most endpoints show is more likely wrong than right. */
+/* A bad health signal of most endpoints is more likely wrong than right: none is excluded then. */
 static void
 lc_assign__drop_bad (const LcAssign *a, LcAssignEligible *e)
 {
@@ -223,7 +224,7 @@
   return best;
 }
 
-/* So few requests at work that one more finds a free slot at once. */
+/* Few enough requests at work that one more most likely gets a free slot at once. */
 static bool
 lc_assign__has_room (const LcAssign *a, const LcAssignPeer *p)
 {
@@ -257,7 +258,7 @@
     return best;
   best_load = lc_assign__load (a, &a->peers[best], now_us);
   self_load = lc_assign__load (a, self, now_us);
-  /* The tolerance is a flow of the larger of both: a flow weighs much on a cold start. */
+  /* One flow is a large share of a small capacity, as in a slow start: the larger one counts. */
   capacity =
       MAX (lc_assign_capacity (a, self, now_us), lc_assign_capacity (a, &a->peers[best], now_us));
   if (self_load * 1000U <= best_load * (1000U + permille) ||
@@ -289,7 +290,8 @@
              : first;
 }
 
-/* SRLB: the first of two takes the flow below a threshold, else the second does. */
+/* SRLB: the first of two choices by hash takes the flow if its load is below a threshold, else the
+ * second does. */
 static int
 lc_assign__srlb (const LcAssign *a, const LcAssignEligible *e, uint64_t key_hash, int64_t now_us)
 {
@@ -299,7 +301,7 @@
 
   if (a->desc.policy == LC_ASSIGN_SRLB_DYNAMIC)
     {
-      /* The threshold at which half of the flows are taken by the first: the mean load. */
+      /* At the mean load the first choice takes about half of the flows. */
       for (uint32_t i = 0; i < e->n; i++)
         total += lc_assign__load (a, &a->peers[e->items[i]], now_us);
       threshold = total / e->n / 1000U;
@@ -431,7 +433,7 @@
   switch (a->desc.policy)
     {
     case LC_ASSIGN_HASH:
-      return e.items[0]; /* the assigner is the first choice by hash */
+      return e.items[0]; /* the assigner itself, which is the first home */
     case LC_ASSIGN_SRLB_STATIC:
     case LC_ASSIGN_SRLB_DYNAMIC:
       return lc_assign__srlb (a, &e, key_hash, now_us);
@@ -447,5 +449,5 @@
 lc_assign_note (LcAssign *a, int index)
 {
   a->peers[index].open_flows++;
-  a->peers[index].at_work++; /* a caller opens a flow to ask something */
+  a->peers[index].at_work++; /* a caller opens a flow to send a request */
 }
--- a/src/core/flow/lc-assign.h
+++ b/src/core/flow/lc-assign.h
@@ -1,29 +1,32 @@
-/* lc-assign: which endpoint gets a new flow.
+/* lc-assign: least-loaded endpoint selection for new flows, with slow start and outlier exclusion.
  *
  * WHAT IT IS
- *   The assigner's knowledge of the endpoints of its service (loads that the agents count
- *   themselves and tell each other) and the choice by it.
+ *   The assigner's table of the endpoints of its service, with the load that each agent counts
+ *   itself and reports to the others, and the choice of an endpoint by it.
  *
  * THE CHOICE
- *   An endpoint may take the flow when it is a candidate in the view, its data centre is not
- *   evacuated and in one of the regions that the flow is kept to, it is not refusing at present,
- * and it is below its connection limit.  Endpoints whose backend server looks bad are passed over,
- *   unless more than half of them look bad: then the sign is not believed and all are used (the
- *   guard).  Among the rest, load is open flows over
- * capacity, and capacity is weight times the cold-start ramp.  Endpoints of the balancer's data
- * centre go first while the best of them is within the spillover margin of the best of all.  The
- * assigner keeps the flow itself while its own load is within a tolerance of the lowest.  An
- * endpoint whose byte rate is well above the mean counts as loaded by that much more: a few heavy
- * flows weigh in a second dimension.
+ *   An endpoint is eligible when
+ *     - it is a candidate in the view and its load report is not stale,
+ *     - its data centre is not evacuated and is in one of the regions that the flow is kept to,
+ *     - it has not refused a flow within the last second,
+ *     - it is below its connection limit.
+ *   Endpoints whose backend server looks bad are excluded, unless more than half look bad: the
+ *   health signal is then more likely wrong than right, and all are used.
+ *   Load is open flows over capacity; capacity is weight times the slow-start ramp.  A byte rate
+ *   well above the mean adds to the load, so that a few heavy flows count.  Endpoints of the
+ *   balancer's data centre are preferred while the best of them is within the spillover margin of
+ *   the best of all.  The assigner keeps the flow itself while its own load is within a tolerance
+ *   of the lowest.
  *
  * HOW TO USE IT
  *     LcAssign assign;
  *     lc_assign_init (&assign, &desc);
  *     lc_assign_set_members (&assign, service, self_id, now_us);     after each view change
- *     lc_assign_set_places (&assign, view);                          and this
- *     lc_assign_report (&assign, &load, now_us);                     a peer's count
- *     int i = lc_assign_choose (&assign, hash, dc, regions, now_us); -1: nobody can
- *     lc_assign_note (&assign, i);                                   before the next report
+ *     lc_assign_set_places (&assign, view);                          likewise
+ *     lc_assign_report (&assign, &load, now_us);                     a peer's load report
+ *     int i = lc_assign_choose (&assign, hash, dc, regions, now_us); -1: none, see assign.failure
+ *     lc_assign_note (&assign, i);                                   counts until the next report
+ *     lc_assign_finish (&assign);
  *
  * LIFETIME
  *   Owns its array of peers; a pointer to one is valid until the next lc_assign_set_members.
@@ -39,11 +42,11 @@
 {
 #endif
 
-  /* How the choice is made; others than LEAST are kept for measurement. */
+  /* All but LEAST are baselines for benchmarks. */
   typedef enum
   {
     LC_ASSIGN_LEAST = 0,        /* self unless the lowest is lower by a tolerance */
-    LC_ASSIGN_HASH = 1,         /* the first home, whatever its load */
+    LC_ASSIGN_HASH = 1,         /* the first home, regardless of load */
     LC_ASSIGN_SRLB_STATIC = 2,  /* first home below a fixed load, else the second */
     LC_ASSIGN_SRLB_DYNAMIC = 3, /* the same with a threshold that follows the load */
     LC_ASSIGN_TWO_CHOICES = 4,  /* the lower of two by hash */
@@ -56,17 +59,17 @@
     uint32_t tolerance_flows;     /* 0: 1 */
     uint32_t spillover_permille;  /* own data centre may be this much above the best; 0: 100 */
     uint32_t static_threshold;    /* SRLB static: flows; 0: 50 */
-    int64_t ramp_us;              /* 0: 10 s */
-    uint32_t ramp_first_permille; /* of its capacity that a cold start begins with; 0: 100 */
-    uint32_t sample;              /* of larger services this many are weighed; 0: 16 */
-    uint32_t byte_permille;       /* weight of a byte rate above the usual; 0: none */
+    int64_t ramp_us;              /* length of the slow start; 0: 10 s */
+    uint32_t ramp_first_permille; /* share of its capacity that a slow start begins with; 0: 100 */
+    uint32_t sample;              /* endpoints compared in larger services; 0: 16 */
+    uint32_t byte_permille;       /* weight of a byte rate above the mean; 0: none */
     uint32_t work_weight;         /* open flows that a request at work counts for; 0: not counted */
-    uint32_t near_permille; /* own data centre while this share of an endpoint's slots is not at
-                               work; 0: by spillover alone */
-    int64_t stale_us;       /* an endpoint not heard for this long is passed over; 0: never */
+    uint32_t near_permille; /* prefer the own data centre while an endpoint there has less than this
+                               share of its slots at work; 0: by spillover alone */
+    int64_t stale_us;       /* exclude an endpoint whose last report is older; 0: never */
   } LcAssignDesc;
 
-  /* Whether an agent knows every flow that its backend server holds (lc-flow-finder.h). */
+  /* Whether an agent's table has every flow that its backend server holds (lc-flow-finder.h). */
   typedef enum
   {
     LC_FLOW_KNOWS_UNSAID = 0,
@@ -74,17 +77,17 @@
     LC_FLOW_KNOWS_SOME = 2,
   } LcFlowKnowledge;
 
-  /* What an agent tells the others of its service. */
+  /* The load report that an agent sends to the other agents of its service. */
   typedef struct
   {
     LcCandidate agent;
     LcRevision revision;
     uint32_t open_flows;
     uint32_t at_work;   /* requests that have no answer yet */
-    uint32_t byte_rate; /* of its flows, bytes a second; 0: not counted */
+    uint32_t byte_rate; /* of its flows, bytes a second; 0: not measured */
     bool is_accepting;  /* false: leaving, or at its limit */
-    bool looks_bad;     /* its backend server's health endpoint says so */
-    bool is_warm;       /* its agent was restarted beside a running backend server: no ramp */
+    bool looks_bad;     /* its backend server fails its health check or its requests */
+    bool is_warm;       /* its agent restarted beside a running backend server: no slow start */
     LcFlowKnowledge knowledge;
   } LcFlowLoad;
 
@@ -94,18 +97,18 @@
     LcDcId dc;
     uint16_t weight_percent;
     uint32_t connection_limit;
-    uint32_t open_flows; /* last report, and what was assigned since */
-    uint32_t at_work;    /* the same */
+    uint32_t open_flows; /* as last reported, plus those assigned since */
+    uint32_t at_work;    /* likewise */
     uint8_t slots;
     uint32_t byte_rate;
     int64_t reported_us;
     int64_t refusing_until_us;
-    int64_t joined_us; /* when this agent first saw it JOINING; 0: ramped */
-    int64_t lost_us;   /* when this agent first saw it LOST; 0: it is not */
-    int64_t asked_us;  /* when a searcher asked it first since it said anything; 0: it has spoken */
-    int64_t asked_last_us; /* and when it did so last */
+    int64_t joined_us;     /* when the view first had it JOINING; 0: slow start is over */
+    int64_t lost_us;       /* when the view first had it LOST; 0: not LOST */
+    int64_t asked_us;      /* first query since its last message; 0: none unanswered */
+    int64_t asked_last_us; /* last query */
     bool is_candidate;
-    bool is_evacuated; /* its data centre is */
+    bool is_evacuated; /* its data centre is evacuated */
     uint8_t region;    /* of its data centre: lc_view_region */
     bool is_accepting;
     bool looks_bad;
@@ -119,10 +122,10 @@
     LcAssignPeer *peers; /* owned; every endpoint of the service, ordered by id */
     uint32_t n_peers;
     LcEndpointId self_id;
-    uint64_t draws;
-    uint64_t mean_flow_load; /* of the endpoints weighed last, for the second dimension */
+    uint64_t draws;          /* samples drawn so far, mixed into the next one's start */
+    uint64_t mean_flow_load; /* of the endpoints compared last; scales the byte load */
     uint64_t mean_byte_load;
-    LcDropReason failure; /* why the last choice found nobody */
+    LcDropReason failure; /* why the last choice found no endpoint */
   } LcAssign;
 
   void lc_assign_init (LcAssign *assign, const LcAssignDesc *desc);
@@ -131,23 +134,22 @@
                               const LcService *service,
                               LcEndpointId self_id,
                               int64_t now_us);
-  /* Notes of each member what the view says of its data centre: whether it is evacuated, and the
-   * region. */
+  /* Copies from the view, for each member, its data centre's region and whether it is evacuated. */
   void lc_assign_set_places (LcAssign *assign, const LcView *view);
   LcAssignPeer *lc_assign_peer (const LcAssign *assign, LcEndpointId id);
   void lc_assign_report (LcAssign *assign, const LcFlowLoad *load, int64_t now_us);
-  /* The endpoint refused a flow: it is passed over for a second. */
+  /* The endpoint refused a flow: it is excluded for a second. */
   void lc_assign_refused (LcAssign *assign, LcEndpointId id, int64_t now_us);
-  /* An endpoint in one of these regions. */
+  /* Index into `peers` of an endpoint in one of these regions, or -1. */
   int lc_assign_choose (
       LcAssign *assign, uint64_t key_hash, LcDcId dc, LcRegionMask regions, int64_t now_us);
+  /* Counts a flow just assigned to this peer, until its next report includes it. */
   void lc_assign_note (LcAssign *assign, int index);
 
-  /* Whether at least as many others take new flows and look good as look bad, this one among them:
-   * the guard that lc_assign_choose keeps, for an endpoint that was chosen by who did not know yet.
-   */
+  /* Whether excluding this endpoint as bad leaves at least as many eligible good ones as bad ones:
+   * the rule of lc_assign_choose, for an endpoint that was chosen before its state was known. */
   bool lc_assign_may_leave_out_self (LcAssign *assign, LcRegionMask regions, int64_t now_us);
-  /* Capacity in thousandths of a nominal endpoint. */
+  /* Capacity in thousandths of an endpoint of weight 100 %, slow start included. */
   uint32_t lc_assign_capacity (const LcAssign *assign, const LcAssignPeer *peer, int64_t now_us);
 
 #ifdef __cplusplus
--- a/src/core/flow/lc-candidates.c
+++ b/src/core/flow/lc-candidates.c
@@ -9,14 +9,15 @@
 static uint64_t
 lc_candidates__mix (uint64_t key_hash, uint64_t seed)
 {
-  /* One multiply and fold: the key was hashed well already, so this only has to make the endpoints'
-   * orders independent of each other. */
+  /* Multiply and fold.  The key is well hashed already; this only has to make the endpoints' ranks
+   * independent of each other. */
   __uint128_t p = (__uint128_t)(key_hash ^ seed) * (seed | 1U);
 
   return (uint64_t)p ^ (uint64_t)(p >> 64);
 }
 
-/* -log2 (hash / 2^64) in 1/2^32 units, by integers alone: every machine ranks alike. */
+/* -log2 (hash / 2^64) in units of 1/2^32.  Integer arithmetic only, so that every CPU and compiler
+ * computes the same ranks. */
 static uint64_t
 lc_candidates__minus_log2 (uint64_t hash)
 {
@@ -38,7 +39,7 @@
   return ((uint64_t)(zeros + 1) << 32) - (fraction << 12);
 }
 
-/* Higher wins.  An endpoint of weight w wins a share w of the flows. */
+/* The highest score wins; an endpoint wins a share of the flows proportional to its weight. */
 static uint64_t
 lc_candidates__score (const LcSetMember *member, uint64_t key_hash, bool is_weighted)
 {
@@ -51,8 +52,8 @@
 
 /* === private: compiling ===================================================================== */
 
-/* By halves, as they are ordered by id: one after the other, 15 former sets of 2,000 endpoints took
- * 50 ms at each change of the view (now 2 ms, one core). */
+/* Binary search by id.  A linear search of 15 former sets of 2,000 endpoints took 50 ms at each
+ * change of the view (now 2 ms, one core). */
 static const LcEndpoint *
 lc_candidates__find (const LcService *s, LcEndpointId id)
 {
@@ -113,7 +114,7 @@
     if (!lc_candidates__is_gone (s, &former->endpoints[i]))
       lc_candidates__add_member (sets, set, &former->endpoints[i]);
   if (set->n == 0)
-    sets->n_sets--; /* nobody of it is left to ask */
+    sets->n_sets--; /* no member of it is left */
 }
 
 static uint32_t
@@ -144,7 +145,7 @@
   for (uint32_t i = 0; i < service->n_endpoints; i++)
     if (lc_endpoint_is_candidate (&service->endpoints[i]))
       lc_candidates__add_member (sets, current, &service->endpoints[i]);
-  /* The oldest set must stay: it holds every pointer and names the assigner. */
+  /* The oldest set must stay: its homes have every pointer, and it names the assigner. */
   skip = service->n_former >= LC_CANDIDATE_SETS_MAX
              ? service->n_former - (LC_CANDIDATE_SETS_MAX - 1)
              : 0;
@@ -177,8 +178,8 @@
 
 /* === public: choice ========================================================================= */
 
-/* `is_weighted` and `regions` are constants at the calls for services whose flows may go anywhere,
- * so that the plain loop has no branch for them. */
+/* Inlined with constant `is_weighted` and `regions` where flows may go anywhere, so that the loop
+ * has no branch for them. */
 static inline __attribute__ ((always_inline)) uint32_t
 lc_candidates__top (const LcSetMember *members,
                     uint32_t n,
@@ -227,8 +228,8 @@
   return lc_candidates__top (members, set->n, key_hash, false, LC_REGIONS_ALL, homes);
 }
 
-/* The best of the newest set in these regions that is not `other`; in `dc` if `is_inside`, else
- * anywhere; suspect ones only if `is_any`. */
+/* The highest-scoring member of the newest set in these regions except `other`; in `dc` only if
+ * `is_inside`, suspect ones only if `is_any`. */
 static const LcSetMember *
 lc_candidates__best (const LcCandidateSets *sets,
                      uint64_t key_hash,
@@ -292,7 +293,7 @@
   return i;
 }
 
-/* Adds without repeats; returns the entry's index. */
+/* Adds the candidate unless it is listed; returns its index. */
 static uint8_t
 lc_candidates__add (LcCandidateList *list, const LcCandidate *candidate, uint8_t limit)
 {
@@ -327,7 +328,8 @@
     }
   else
     {
-      /* The assigner comes last, so that a walk ends where the flow is assigned. */
+      /* The assigner comes last, so that a packet that visits the list ends where it is assigned.
+       */
       if (n == 2)
         (void)lc_candidates__add (list, &homes[1]->candidate, limit);
       list->assigner = lc_candidates__add (list, &homes[0]->candidate, limit);
--- a/src/core/flow/lc-candidates.h
+++ b/src/core/flow/lc-candidates.h
@@ -1,29 +1,33 @@
-/* lc-candidates: which endpoints a packet visits, computed alike on every node.
+/* lc-candidates: weighted rendezvous hashing of flows over the endpoints of a service.
  *
  * WHAT IT IS
  *   A service's candidate sets, compiled from a view for fast choice: the current set, then the
- *   former sets that have not settled.  For a flow the homes of a set are its first and second
- *   choice by weighted rendezvous hashing.  A packet's list holds the homes of the newest set
- *   first and those of the oldest set last, without repeats, and names the one endpoint that may
- *   assign a new flow: the first home of the oldest set.
+ *   former sets that have not settled (some balancer may still use them).  The homes of a flow are
+ *   the two highest-scoring endpoints of a set; they keep the flow's directory entry, which names
+ *   its owner.  Every balancer and agent with the same view computes the same homes.  A packet's
+ *   candidate list has the homes of the newest set first and those of the oldest set last, without
+ *   repeats, and names the one endpoint that may assign a new flow, the assigner: the first home of
+ *   the oldest set.
  *
  * WHY THE OLDEST SET ASSIGNS
- *   While views differ, every balancer still knows the oldest unsettled set, so all of them name
- *   the same assigner, and a flow begun through two views at once gets one owner.
+ *   While views differ, every balancer still has the oldest unsettled set, so all of them name the
+ *   same assigner, and a flow opened through two views at once gets one owner.
  *
  * HOW TO USE IT
  *     LcCandidateSets sets = { 0 };
  *     lc_candidate_sets_compile (&sets, lc_view_service (&view, id));
  *     LcCandidateList list;
- *     lc_candidates_pick (&sets, lc_flow_key_hash (&key), &list);
+ *     lc_candidate_sets_place (&sets, &view);              only for choices kept to regions
+ *     lc_candidates_pick (&sets, lc_flow_key_hash (&key), LC_REGIONS_ALL, &list);
  *     lc_candidate_sets_finish (&sets);
  *
  * LIFETIME
  *   The sets own copies; the service may change afterwards.
  *
  * LIMITS
- *   Choice is O(endpoints of all sets).  At most LC_CANDIDATES_MAX entries: with more unsettled
- *   sets than fit, those between the newest and the oldest are left out, oldest of them first.
+ *   A choice costs O(endpoints of all sets).  A list has at most LC_CANDIDATES_MAX entries: with
+ *   more unsettled sets than fit, those between the newest and the oldest are left out, oldest of
+ *   them first.
  */
 #ifndef LC_CANDIDATES_H
 #define LC_CANDIDATES_H
@@ -38,11 +42,11 @@
   enum
   {
     LC_CANDIDATES_MAX = 14, /* entries of a list */
-    LC_HOMES = 2,           /* of a set, for one flow */
+    LC_HOMES = 2,           /* per flow and set */
     LC_CANDIDATE_SETS_MAX = 16,
   };
 
-  /* One process at one address; the instance tells it from a later one. */
+  /* One agent process.  The instance differs from that of a later process at the same address. */
   typedef struct
   {
     LcEndpointId id;
@@ -54,17 +58,17 @@
   typedef struct
   {
     LcCandidate candidate;
-    uint64_t seed; /* of the endpoint's id */
+    uint64_t seed; /* hash of the endpoint's id */
     uint16_t weight_percent;
     LcDcId dc;
     uint8_t region;  /* lc_view_region; LC_REGION_NONE until lc_candidate_sets_place */
-    bool is_suspect; /* it does not answer (lc-reach.h): not a home while there are others */
+    bool is_suspect; /* does not answer probes (lc-reach.h): a home only if others are too few */
   } LcSetMember;
 
   typedef struct
   {
     LcRevision until_revision; /* UINT64_MAX: the current set */
-    uint32_t first;            /* of `members` */
+    uint32_t first;            /* index into `members` */
     uint32_t n;
     bool is_weighted; /* members differ in weight */
   } LcCandidateSet;
@@ -84,33 +88,35 @@
     LcCandidate items[LC_CANDIDATES_MAX];
     uint8_t n;
     uint8_t n_current;   /* homes of the newest set: the list begins with them */
-    uint8_t assigner;    /* index; counts when n > 0 */
+    uint8_t assigner;    /* index; valid if n > 0 */
     LcRevision set_rank; /* until_revision of the assigner's set: lower is older */
   } LcCandidateList;
 
-  /* Replaces what the sets held.  Former members that the view knows to be gone are left out. */
+  /* Replaces the sets by those of this service; NULL: none.  Former members that are gone from the
+   * service are left out. */
   void lc_candidate_sets_compile (LcCandidateSets *sets, const LcService *service);
-  /* Notes the regions of the members' data centres: before choices that are kept to regions. */
+  /* Copies the regions of the members' data centres from the view: required before a choice that
+   * is kept to regions. */
   void lc_candidate_sets_place (LcCandidateSets *sets, const LcView *view);
   void lc_candidate_sets_copy (LcCandidateSets *to, const LcCandidateSets *from);
   void lc_candidate_sets_finish (LcCandidateSets *sets);
 
-  /* Of each set the homes in these regions. */
+  /* Builds a flow's candidate list from the homes, in these regions, of each set. */
   void lc_candidates_pick (const LcCandidateSets *sets,
                            uint64_t key_hash,
                            LcRegionMask regions,
                            LcCandidateList *list);
 
-  /* Homes of one set by choice; returns how many (at most LC_HOMES). */
+  /* Homes in one set, highest score first; returns how many (at most LC_HOMES). */
   uint32_t lc_candidates_homes (const LcCandidateSets *sets,
                                 uint32_t set,
                                 uint64_t key_hash,
                                 LcRegionMask regions,
                                 const LcSetMember *homes[LC_HOMES]);
 
-  /* Homes of the newest set for a flow whose packets come in at one data centre: the first choices
-   * there, then those elsewhere.  Where the owner is found without a settled list (lc-flow-return),
-   * they keep packets, pointers and flows inside the data centre. */
+  /* Homes in the newest set for a flow whose packets come in at `dc`: endpoints there before those
+   * elsewhere, suspect ones last.  Used where the owner is found without a settled list
+   * (lc-flow-return): packets, pointers and flows then stay inside the data centre. */
   uint32_t lc_candidates_near_homes (const LcCandidateSets *sets,
                                      uint64_t key_hash,
                                      LcDcId dc,
@@ -123,7 +129,7 @@
     return a->id == b->id && a->instance == b->instance;
   }
 
-  /* Whether the view has settled on the current set. */
+  /* Whether every balancer uses the current set. */
   static inline bool
   lc_candidate_sets_settled (const LcCandidateSets *sets)
   {
--- a/src/core/flow/lc-envelope.h
+++ b/src/core/flow/lc-envelope.h
@@ -1,24 +1,25 @@
-/* lc-envelope: the header before a caller's packet between balancers and agents.
+/* lc-envelope: encapsulation header of a caller's packet between balancers and agents.
  *
  * WHAT IT IS
- *   Big-endian, in one UDP datagram with the packet behind it:
+ *   The header is sent in one UDP datagram, with the caller's packet behind it.  It holds the
+ *   flow's candidate list and how far the packet has come on it.  Big-endian:
  *      0 u16 magic 0x4c46 ("LF")      2 u8 version (1)       3 u8 kind (LcEnvelopeKind)
  *      4 u8 mode (LcEnvelopeMode)     5 u8 hop               6 u8 hops left
  *      7 u8 number of candidates      8 u8 assigner's index  9 u8 refusal (LcDropReason)
  *     10 u16 data centre of the balancer                    12 u32 service
  *     16 u64 view revision of the list                      24 u64 rank of the assigner's set
  *     32 u32 target endpoint         36 u64 target instance
- *     44 u32 stray endpoint          48 u64 stray instance
+ *     44 u32 endpoint and 48 u64 instance of an owner named by a stale pointer; 0: none
  *     56 candidates: u32 id, u64 instance, u32 ipv4, u16 port
- *   Other datagrams of the flow plane (kind LC_ENVELOPE_MESSAGE) have the first four bytes only,
- *   then a protobuf-c message.
+ *   Other datagrams of the flow plane start with the first four bytes only; those of kind
+ *   LC_ENVELOPE_MESSAGE go on with a protobuf message.
  *
  * HOW TO USE IT
  *     size_t n = lc_envelope_encode (&envelope, buffer, sizeof buffer);
  *     int n = lc_envelope_decode (&envelope, bytes, len);   n > 0: the packet starts at n
  *
  * LIMITS
- *   The hop index only grows and hops_left only falls, so every walk ends.
+ *   Every forward lowers hops_left, so every packet ends after at most LC_ENVELOPE_HOPS.
  */
 #ifndef LC_ENVELOPE_H
 #define LC_ENVELOPE_H
@@ -39,9 +40,8 @@
     LC_ENVELOPE_CANDIDATE_BYTES = 18,
     LC_ENVELOPE_MAX_BYTES =
         LC_ENVELOPE_FIXED_BYTES + (LC_CANDIDATES_MAX + 2) * LC_ENVELOPE_CANDIDATE_BYTES,
-    /* Forwards of one packet at most: four walks over the longest list.  A walk begins anew when a
-     * view newer than its list is met, and goes back once for each older assigner that it is given.
-     */
+    /* Most forwards of one packet: four passes over the longest list.  A pass starts again when an
+     * agent has a newer view than the list, and returns once for each older assigner found. */
     LC_ENVELOPE_HOPS = 64,
   };
 
@@ -49,32 +49,32 @@
   {
     LC_ENVELOPE_PACKET = 1,
     LC_ENVELOPE_MESSAGE = 2,
-    LC_ENVELOPE_PROBE = 3, /* balancer to agent: are you there? (lc-reach.h); the prefix alone */
+    LC_ENVELOPE_PROBE = 3, /* balancer to agent: liveness probe (lc-reach.h); the prefix alone */
     LC_ENVELOPE_PROBE_ANSWER = 4,
   } LcEnvelopeKind;
 
   /* Why the packet was sent to this agent. */
   typedef enum
   {
-    LC_MODE_WALK = 1,    /* it is candidates[hop] */
-    LC_MODE_ASSIGN = 2,  /* nobody on the list knows the flow: assign it */
-    LC_MODE_OWNER = 3,   /* a pointer says that the target owns the flow */
-    LC_MODE_OPEN = 4,    /* the assigner gave the flow to the target */
-    LC_MODE_REFUSED = 5, /* the target did not take it; back at the assigner */
-    LC_MODE_SEARCH = 6,  /* no home knows the owner: the target tries it (lc-flow-finder.h) */
-    LC_MODE_FIND = 7,    /* no home knows the owner: the target searches for it */
+    LC_MODE_WALK = 1,    /* the target is candidates[hop]: look the flow up, else pass it on */
+    LC_MODE_ASSIGN = 2,  /* no candidate has an entry for the flow: assign it */
+    LC_MODE_OWNER = 3,   /* a pointer names the target as the owner */
+    LC_MODE_OPEN = 4,    /* the assigner chose the target for the flow */
+    LC_MODE_REFUSED = 5, /* the chosen endpoint refused the flow; back at the assigner */
+    LC_MODE_SEARCH = 6,  /* no home has the owner: try the target's backend (lc-flow-finder.h) */
+    LC_MODE_FIND = 7,    /* no home has the owner: the target is to search for it */
   } LcEnvelopeMode;
 
-  /* Why a packet went no further. */
+  /* Why a packet was dropped or refused. */
   typedef enum
   {
     LC_DROP_NONE = 0,
-    LC_DROP_NO_OWNER = 1,    /* an established flow that nobody knows */
-    LC_DROP_NO_ENDPOINT = 2, /* no endpoint takes new flows */
-    LC_DROP_LIMIT = 3,       /* every endpoint is at its connection limit */
-    LC_DROP_WRONG_INSTANCE = 4,
-    LC_DROP_HOPS = 5,
-    LC_DROP_LEAVING = 6, /* reason of a refusal: the target is leaving */
+    LC_DROP_NO_OWNER = 1,       /* an established flow without a known owner */
+    LC_DROP_NO_ENDPOINT = 2,    /* no endpoint takes new flows */
+    LC_DROP_LIMIT = 3,          /* every endpoint is at its connection limit, or refusing */
+    LC_DROP_WRONG_INSTANCE = 4, /* sent to a process that has been replaced */
+    LC_DROP_HOPS = 5,           /* no hops left */
+    LC_DROP_LEAVING = 6,        /* refusal: the target is leaving */
     LC_DROP_MALFORMED = 7,
     LC_DROP_NO_SERVICE = 8, /* no service at this address */
     LC_DROP_NO_MEMORY = 9,  /* the flow table is full */
@@ -97,21 +97,21 @@
     LcRevision set_rank;
     LcEndpointId target_id;
     LcInstance target_instance;
-    LcEndpointId stray_id; /* an owner named by a pointer that did not own; 0: none */
+    LcEndpointId stray_id; /* named as the owner by a stale pointer; 0: none */
     LcInstance stray_instance;
-    LcCandidate candidates[LC_CANDIDATES_MAX + 2]; /* room for assigners found on the way */
+    LcCandidate candidates[LC_CANDIDATES_MAX + 2]; /* + 2: assigners that agents add */
   } LcEnvelope;
 
-  /* Bytes written, 0 when `size` is too small. */
+  /* Returns the bytes written, 0 when `size` is too small. */
   size_t lc_envelope_encode (const LcEnvelope *envelope, uint8_t *out, size_t size);
-  /* Where the packet starts, or LC_ERR_TRUNCATED, LC_ERR_CORRUPT, LC_ERR_VERSION. */
+  /* Returns the packet's offset, or LC_ERR_TRUNCATED, LC_ERR_CORRUPT, LC_ERR_VERSION. */
   int lc_envelope_decode (LcEnvelope *envelope, const uint8_t *bytes, size_t len);
 
   void lc_envelope_encode_prefix (uint8_t *out, LcEnvelopeKind kind);
-  /* The kind, or a negative error. */
+  /* Returns the LcEnvelopeKind, or the same errors. */
   int lc_envelope_kind (const uint8_t *bytes, size_t len);
 
-  /* "no-owner" and so on, for counters and logs. */
+  /* Name in metrics and logs, for example "no-owner". */
   const char *lc_drop_reason_name (LcDropReason reason);
 
 #ifdef __cplusplus
--- a/src/core/flow/lc-flow-balancer.c
+++ b/src/core/flow/lc-flow-balancer.c
@@ -86,7 +86,7 @@
   return n > 0;
 }
 
-/* Most packets: one set, whose homes are the whole list. */
+/* The usual case: one set, whose homes are the whole list. */
 static bool
 lc_envelope__fill_settled (LcEnvelope *e,
                            const LcCandidateSets *sets,
@@ -115,7 +115,7 @@
   return list.n > 0;
 }
 
-/* The homes in the data centre, where agents find owners without a settled list. */
+/* The homes nearest to `dc`, for services whose agents find owners without a settled list. */
 static bool
 lc_envelope__fill_near (
     LcEnvelope *e, const LcCandidateSets *sets, uint64_t key_hash, LcRegionMask regions, LcDcId dc)
@@ -164,7 +164,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  /* Mostly there are none, and none is marked: not every endpoint is looked at each time. */
+  /* The usual case: nothing to mark or unmark, so the endpoints need not be visited. */
   if (!has_suspects && !b->has_suspects)
     return;
   b->has_suspects = has_suspects;
@@ -185,8 +185,8 @@
   b->is_cut_off = is_cut_off;
 }
 
-/* Puts an endpoint of the newest set known before the list: a detour of a hop that any living
- * endpoint can end. */
+/* Puts an endpoint of the newest set in front of the list, round-robin: if it is alive and has a
+ * newer view, it replaces the list. */
 static void
 lc_flow_balancer__detour (LcFlowBalancer *b, const LcCandidateSets *sets, LcEnvelope *e)
 {
@@ -202,8 +202,8 @@
   e->target_instance = e->candidates[0].instance;
 }
 
-/* Nobody takes new flows, but endpoints that leave still have theirs: one of them, by hash, looks
- * for the owner. */
+/* No endpoint takes new flows, but those that are leaving still have theirs: one of them, chosen by
+ * hash, searches for the owner. */
 static bool
 lc_flow_balancer__any_endpoint (const LcFlowBalancer *b,
                                 LcServiceId service_id,
--- a/src/core/flow/lc-flow-balancer.h
+++ b/src/core/flow/lc-flow-balancer.h
@@ -1,8 +1,8 @@
-/* lc-flow-balancer: the flow plane of one balancer, without its sockets.
+/* lc-flow-balancer: stateless packet steering of one balancer, without its sockets.
  *
  * WHAT IT IS
- *   From a caller's packet and the view to an envelope and the agent to send it to.  It holds
- *   compiled candidate sets of each service and nothing of any flow.
+ *   Computes, from a caller's packet and the view, the envelope and the agent to send it to.  It
+ *   caches the compiled candidate sets of each service and keeps no state per flow.
  *
  * HOW TO USE IT
  *     lc_flow_balancer_init (&balancer, dc);
@@ -11,7 +11,7 @@
  *     lc_flow_balancer_finish (&balancer);
  *
  * LIFETIME
- *   `view` must stay valid until the next set_view or finish.
+ *   The view must stay valid until the next lc_flow_balancer_set_view or lc_flow_balancer_finish.
  */
 #ifndef LC_FLOW_BALANCER_H
 #define LC_FLOW_BALANCER_H
@@ -28,16 +28,16 @@
 
   enum
   {
-    LC_FLOW_BALANCER_CACHE = 1024, /* addresses whose look-up is remembered */
+    LC_FLOW_BALANCER_CACHE = 1024, /* entries of the address cache */
   };
 
-  /* What was found for one address; forgotten with the view. */
+  /* A cached address look-up; dropped at each change of the view. */
   typedef struct
   {
     uint32_t ipv4;
     uint16_t port;
     uint8_t protocol;
-    LcRegionMask regions;        /* that new flows to it are kept to */
+    LcRegionMask regions;        /* to which its new flows are kept */
     const LcCandidateSets *sets; /* NULL: empty */
   } LcFlowBalancerEntry;
 
@@ -49,35 +49,38 @@
     LcDcId dc;
     bool is_cut_off;
     bool has_suspects; /* some member of a set is marked as suspect */
-    bool is_returning; /* backend servers return what they do not hold: lc-flow-return.h */
-    uint32_t turn;
+    bool is_returning; /* backend servers return packets of flows they lack: lc-flow-return.h */
+    uint32_t turn;     /* round-robin counter of detours */
   } LcFlowBalancer;
 
   void lc_flow_balancer_init (LcFlowBalancer *balancer, LcDcId dc);
   void lc_flow_balancer_finish (LcFlowBalancer *balancer);
-  /* Backend servers return what they do not hold: lists then name the newest homes alone, since
-   * agents find the owner without a settled list. */
+  /* Set if backend servers return packets of flows that they don't hold.  Lists then have the homes
+   * of the newest set alone, since agents find the owner without a settled list. */
   void lc_flow_balancer_set_returning (LcFlowBalancer *balancer, bool is_returning);
-  /* Forgets what was compiled from the view before. */
+  /* Drops all compiled sets. */
   void lc_flow_balancer_set_view (LcFlowBalancer *balancer, const LcView *view);
-  /* The same for one service that changed. */
+  /* Drops the compiled sets of one service that changed in the view. */
   void lc_flow_balancer_forget (LcFlowBalancer *balancer, LcServiceId service_id);
 
-  /* Takes over which agents are suspect now; they are homes only where there is no other. */
+  /* Copies from the failure detector which agents are suspect; lc_candidates_near_homes passes
+   * them over. */
   void
   lc_flow_balancer_mark_suspects (LcFlowBalancer *balancer, const LcReach *reach, int64_t now_us);
 
-  /* Whether upstream was last heard so long ago that homes may have gone unseen: packets then go
-   * through the endpoints of the service in turn, and whichever lives renews a stale list. */
+  /* Set if the view has had no contact with its source for so long that homes may have gone
+   * unnoticed.  Packets then go first to one endpoint of the service after the other, round-robin:
+   * one that is alive replaces a stale list. */
   void lc_flow_balancer_set_cut_off (LcFlowBalancer *balancer, bool is_cut_off);
 
-  /* 0, or a negative LcDropReason: no service at the address, or no endpoint. */
+  /* Returns 0, or a negative LcDropReason: no service at the address, or no endpoint. */
   int lc_flow_balancer_steer (LcFlowBalancer *balancer,
                               const LcPacket *packet,
                               LcEnvelope *envelope,
                               LcCandidate *to);
 
-  /* The list of one flow as an envelope; shared with agents that renew a stale list. */
+  /* Fills in the candidate list of one flow; false: no candidate.  Agents use it too, to replace a
+   * stale list. */
   bool lc_envelope_fill (LcEnvelope *envelope,
                          const LcCandidateSets *sets,
                          uint64_t key_hash,
--- a/src/core/flow/lc-steer.c
+++ b/src/core/flow/lc-steer.c
@@ -12,7 +12,7 @@
   return (LcSteer){ .kind = kind, .to = *to };
 }
 
-/* On to the next candidate; past the end, to the assigner if the packet may open a flow. */
+/* To the next candidate; at the end of the list, to the assigner if the packet may open a flow. */
 static LcSteer
 lc_steer__walk_on (const LcEnvelope *e, const LcPacket *packet, bool is_pending, bool is_stray)
 {
@@ -44,7 +44,7 @@
     }
 }
 
-/* This agent is the one to assign, unless it knows of an older assigner. */
+/* This agent assigns the flow, unless a PENDING entry names an older assigner. */
 static LcSteer
 lc_steer__assign (const LcSteerSelf *self, const LcEnvelope *e, const LcSteerKnown *known)
 {
@@ -66,15 +66,15 @@
   return (LcSteer){ .kind = LC_STEER_TAKE };
 }
 
-/* The mark of an assigner that is gone says nothing of who assigns the flow now, but that a walk
- * passed here while sets were settling, and may have been given an older assigner on its way: only
- * the rest of the list can tell. */
+/* A PENDING entry whose assigner is gone shows that a packet passed here while sets were settling;
+ * a later agent may have added an older assigner to its list.  So the rest of the list has to be
+ * visited before this agent may assign. */
 static bool
 lc_steer__may_assign_here (const LcSteerSelf *self, const LcEnvelope *e, const LcSteerKnown *known)
 {
   bool is_last = e->hop + 1 == e->n;
-  bool has_dead_mark = known->kind == LC_FLOW_PENDING && !known->is_live;
-  bool is_settled = e->set_rank == UINT64_MAX && self->is_settled && !has_dead_mark;
+  bool is_orphaned = known->kind == LC_FLOW_PENDING && !known->is_live;
+  bool is_settled = e->set_rank == UINT64_MAX && self->is_settled && !is_orphaned;
 
   return e->hop == e->assigner && (is_last || is_settled);
 }
@@ -104,7 +104,7 @@
     }
 }
 
-/* Each of two agents expects the other to take the flow: the lower id does. */
+/* Two agents have each sent the flow to the other to own: the one of lower id takes it. */
 static bool
 lc_steer__is_crossed (const LcSteerSelf *self, const LcEnvelope *e, const LcSteerKnown *known)
 {
--- a/src/core/flow/lc-steer.h
+++ b/src/core/flow/lc-steer.h
@@ -1,22 +1,27 @@
-/* lc-steer: what an agent does with a packet that reached it.
+/* lc-steer: forwarding decision of an agent for one packet.
  *
  * WHAT IT IS
- *   One pure function from (this agent, envelope, packet, what the table knows) to a tagged union.
- *   It changes nothing; lc-flow-agent carries the answer out.
+ *   A pure function from this agent's state, the envelope, the packet and the flow table's entry to
+ *   a tagged union.  It changes nothing; lc-flow-agent carries the decision out.
+ *
+ * HOW TO USE IT
+ *     LcSteer s = lc_steer (&self, &envelope, &packet, &known);
+ *     switch (s.kind) ...
  *
  * THE RULES, IN ORDER
- *   1. A packet for another service or instance is never looked up: it walks on, or ends.
+ *   1. A packet for another service or instance is not looked up: it goes on along the list, or is
+ *      dropped.
  *   2. The owner delivers.
- *   3. A pointer to a live owner sends the packet there; while the owner has not confirmed it, a
- *      packet that may open a flow goes as LC_MODE_OPEN, so that loss or reordering of the first
- *      one does no harm.
- *   4. Nobody here knows the flow.  A packet that can't open one walks the list and is dropped at
- *      its end.  One that may open a flow walks the list too, leaving a PENDING mark, and only the
- *      assigner assigns it; on a settled list the assigner, being the first home, knows every flow
- *      and assigns at once.
- *   5. Two lists may name two assigners (one balancer has seen a set settle, another has not).
- *      The walk for the older set passes the assigner of the newer one and leaves its mark there;
- *      the newer assigner then defers to the older.
+ *   3. A pointer to a live owner forwards the packet there.  While the owner has not confirmed the
+ *      pointer, a packet that may open a flow is sent as LC_MODE_OPEN, so that the flow opens even
+ *      if its first packet is lost or reordered.
+ *   4. Without an entry, a packet that can't open a flow visits the rest of the list and is dropped
+ *      at its end.  One that may open a flow visits it too, leaving a PENDING entry at each agent,
+ *      and only the assigner assigns it.  On a settled list the assigner is the first home, which
+ *      has an entry of every flow, and assigns at once.
+ *   5. Two lists may name two assigners: one balancer has seen a set settle, another has not.
+ *      A packet with the older set's list passes the assigner of the newer set and leaves a PENDING
+ *      entry there; the newer assigner then defers to the older.
  */
 #ifndef LC_STEER_H
 #define LC_STEER_H
@@ -36,29 +41,29 @@
     LcServiceId service_id;
     bool is_leaving; /* takes no new flow */
     bool is_full;    /* at its connection limit */
-    bool is_cut_off; /* not heard from upstream for so long that it may count as lost */
+    bool is_cut_off; /* without contact for so long that others may count it as lost */
     bool is_settled; /* its own view has no unsettled set */
   } LcSteerSelf;
 
-  /* What the table says of the flow. */
+  /* The flow table's entry. */
   typedef struct
   {
-    LcFlowKind kind;   /* LC_FLOW_FREE: nothing */
+    LcFlowKind kind;   /* LC_FLOW_FREE: no entry */
     LcCandidate other; /* POINTER: owner; PENDING: assigner */
     bool is_live;      /* `other` is not known to be gone */
     bool is_confirmed; /* POINTER */
-    LcRevision rank;   /* PENDING */
+    LcRevision rank;   /* PENDING: of the assigner's set; lower is older */
   } LcSteerKnown;
 
   typedef enum
   {
     LC_STEER_DELIVER = 1, /* to the backend server: this agent owns the flow */
-    LC_STEER_TAKE = 2,    /* own the flow from now on, and deliver */
-    LC_STEER_ASSIGN = 3,  /* choose an endpoint */
+    LC_STEER_TAKE = 2,    /* become the flow's owner, and deliver */
+    LC_STEER_ASSIGN = 3,  /* choose an endpoint (lc-assign) */
     LC_STEER_NEXT = 4,    /* to the next candidate; `next` */
     LC_STEER_DEFER = 5,   /* to the assigner `to` */
     LC_STEER_OWNER = 6,   /* to the owner `to` */
-    LC_STEER_OPEN = 7,    /* to the owner `to` that has not confirmed yet */
+    LC_STEER_OPEN = 7,    /* to the owner `to`, which has not confirmed yet */
     LC_STEER_REFUSE = 8,  /* back to the assigner, with `reason` */
     LC_STEER_DROP = 9,    /* with `reason` */
   } LcSteerKind;
@@ -73,8 +78,8 @@
       struct
       {
         uint8_t hop;
-        bool is_pending; /* leave a PENDING mark */
-        bool is_stray;   /* the pointer that led here was wrong: name it */
+        bool is_pending; /* add a PENDING entry */
+        bool is_stray;   /* a stale pointer led here: put this agent into `stray_id` */
       } next;
     };
   } LcSteer;
@@ -84,7 +89,7 @@
                     const LcPacket *packet,
                     const LcSteerKnown *known);
 
-  /* Whether the envelope says that this owner's pointer is wrong. */
+  /* Whether the envelope reports the pointer to this owner as stale. */
   static inline bool
   lc_steer_is_stray (const LcEnvelope *e, const LcCandidate *owner)
   {
