--- a/src/core/flow/lc-cold-limit.c
+++ b/src/core/flow/lc-cold-limit.c
@@ -7,19 +7,19 @@
 {
   LC_COLD_LIMIT_EXACT_PERMILLE = 1000,
   LC_COLD_LIMIT_MILLI = 1000,
-  LC_COLD_LIMIT_STARTS = 2, /* of this process, within a window, that stay below the bound */
+  LC_COLD_LIMIT_STARTS = 2, /* starts of this process in a window that the bound allows for */
 };
 
 /* === private ================================================================================ */
 
-/* A rate below one still lets one through: a server that gets nothing never warms up. */
+/* At least one a window: a server without requests never warms up. */
 static uint32_t
 lc_cold_limit__most (const LcColdLimit *limit)
 {
   return CLAMP (limit->rate_mrps / LC_COLD_LIMIT_MILLI, 1, (uint32_t)LC_COLD_LIMIT_MOST);
 }
 
-/* What may be granted in the first window after the start, about which nothing is known. */
+/* Grants in the first window, when those of the previous process are unknown. */
 static uint32_t
 lc_cold_limit__most_at_start (const LcColdLimit *limit)
 {
--- a/src/core/flow/lc-cold-limit.h
+++ b/src/core/flow/lc-cold-limit.h
@@ -1,31 +1,32 @@
-/* lc-cold-limit: how many requests a cold backend server is given in any second.
+/* lc-cold-limit: sliding-window rate limiter for a backend server that is warming up.
  *
  * WHAT IT IS
- *   For some seconds after its start a backend server bears few requests a second: its caches are
- *   empty, its code is not compiled.  Its service may state that rate.  The agent beside it keeps
- *   to it, since all requests pass there, whoever sends them: no sum over senders is needed, and a
- *   cut between them changes nothing.  A window of a second slides: the times of the last grants
- *   are kept, and one more is granted when the oldest of a rate's worth is a window old.  Fixed
- *   seconds would let twice the rate through in a second that spans two of them.
+ *   For some seconds after its start a backend server handles few requests a second: its caches
+ *   are empty, its code is not compiled.  Its service may set that rate.  The agent beside the
+ *   server enforces it, since all requests pass there: no sum over senders is needed, and a network
+ *   partition between them changes nothing.  The limiter keeps the times of the last grants, and
+ *   grants one more when the oldest of a rate's worth is a window old.  Fixed windows would let
+ *   twice the rate through in a second that spans two of them.
  *
  * LOAD PATTERN
  *   A data centre's servers come back cold together, after an evacuation or an outage, while the
- *   others are full: all that the others can't take is offered to them at once.
+ *   others are at capacity: all excess load is offered to the cold ones at once.
  *
  * LIMITS, AND WHY
- *   - The window is LC_COLD_LIMIT_WINDOW_US, a little over a second: what is granted here arrives a
- *     moment later, by as much as a process waits for its turn.
- *   - An agent that has just started doesn't know what was given in the second before.  Until a
- *     window has passed it grants half of what may be given beyond the rate (overshoot and slack):
- *     then two starts within a second stay below the bound.
- *   - At most LC_COLD_LIMIT_MOST a second; a higher rate is taken for that.
+ *   - The window is LC_COLD_LIMIT_WINDOW_US, a little over a second: a granted request reaches the
+ *     server later, by up to a scheduling delay.
+ *   - A restarted agent has no record of the second before.  For one window it grants only half of
+ *     what is allowed beyond the rate (overshoot and slack), so that two starts within a second
+ *     stay below the bound.
+ *   - Rates above LC_COLD_LIMIT_MOST a second are treated as that.
  *
  * HOW TO USE IT
- *     lc_cold_limit_init (&limit, &desc, now_us);      nothing is known of the time before
- *     lc_cold_limit_set_rate (&limit, rate_mrps);      0: its service states none
+ *     lc_cold_limit_init (&limit, &desc, now_us);      earlier grants are unknown
+ *     lc_cold_limit_set_rate (&limit, rate_mrps);      0: no limit
  *     lc_cold_limit_set_cold (&limit, is_cold);
- *     if (lc_cold_limit_has_room (&limit, now_us)) ... lc_cold_limit_note (&limit, now_us);
- *   Grants are noted whether it is cold or not: it may start again a moment later.
+ *     if (lc_cold_limit_has_room (&limit, now_us))
+ *       lc_cold_limit_note (&limit, now_us);           and give the request to the server
+ *   Record grants while the server is warm, too: it may restart a moment later.
  *
  * LIFETIME
  *   Plain values; nothing to free.
@@ -49,8 +50,8 @@
 
   typedef struct
   {
-    uint32_t overshoot_permille; /* of the rate that may be given at most; 0: 1000, the rate */
-    uint32_t slack;              /* requests that may be given besides */
+    uint32_t overshoot_permille; /* bound in any second, of the rate; below 1000: 1000, the rate */
+    uint32_t slack;              /* requests a second allowed beyond that */
   } LcColdLimitDesc;
 
   typedef struct
@@ -60,12 +61,13 @@
     bool is_cold;
     int64_t started_us;
     uint32_t n_since_start;               /* grants in the first window */
-    uint32_t next;                        /* place of the next grant's time */
-    int64_t times_us[LC_COLD_LIMIT_MOST]; /* of the last grants, a ring; 0: none */
+    uint32_t next;                        /* index of the next grant in `times_us` */
+    int64_t times_us[LC_COLD_LIMIT_MOST]; /* ring buffer of the last grants; 0: none */
   } LcColdLimit;
 
   void lc_cold_limit_init (LcColdLimit *limit, const LcColdLimitDesc *desc, int64_t now_us);
-  /* Nothing was given to the backend server before: it began under this process. */
+  /* The backend server started under this process, so there were no earlier grants: the reduced
+   * limit of the first window doesn't apply. */
   void lc_cold_limit_know_all (LcColdLimit *limit);
   void lc_cold_limit_set_rate (LcColdLimit *limit, uint32_t rate_mrps);
   void lc_cold_limit_set_cold (LcColdLimit *limit, bool is_cold);
--- a/src/core/flow/lc-flow-gate.c
+++ b/src/core/flow/lc-flow-gate.c
@@ -8,7 +8,7 @@
   LC_FLOW_GATE_MAX_WAITING = 256,
 };
 
-/* Of the objective: the rest is for the work itself and the way back. */
+/* Of the objective; the rest is for the work itself and the answer's way back. */
 #define LC_FLOW_GATE_LATE_PERMILLE 800
 #define LC_FLOW_GATE_OBJECTIVE_US (500 * LC_US_PER_MS)
 #define LC_FLOW_GATE_DOUBT_US LC_US_PER_S
@@ -29,7 +29,7 @@
   return &g_array_index (requests, LcFlowGateRequest, i);
 }
 
-/* Its place, or the array's length. */
+/* Returns the array's length if the flow has no request in it. */
 static guint
 lc_flow_gate__find (const GArray *requests, uint32_t flow)
 {
@@ -92,7 +92,7 @@
   return newest;
 }
 
-/* Whose turn it is; something waits. */
+/* The request to pass next; at least one waits. */
 static guint
 lc_flow_gate__choose (const LcFlowGate *gate, int64_t now_us)
 {
@@ -112,16 +112,16 @@
     }
 }
 
-/* For the waiting request at this place. */
+/* Whether the waiting request at this index may pass; counts a probe if it does as one. */
 static bool
-lc_flow_gate__has_room (LcFlowGate *gate, guint place, int64_t now_us)
+lc_flow_gate__has_room (LcFlowGate *gate, guint index, int64_t now_us)
 {
-  bool is_late = lc_flow_gate__is_late (gate, lc_flow_gate__at (gate->waiting, place), now_us);
-  uint32_t n_most = gate->slots + (is_late ? 0 : gate->desc.ahead);
+  bool is_late = lc_flow_gate__is_late (gate, lc_flow_gate__at (gate->waiting, index), now_us);
+  uint32_t limit = gate->slots + (is_late ? 0 : gate->desc.ahead);
 
   if (!lc_cold_limit_has_room (&gate->cold, now_us))
     return false;
-  if (gate->slots == 0 || gate->working->len < n_most)
+  if (gate->slots == 0 || gate->working->len < limit)
     return true;
   if (now_us - gate->moved_us < gate->desc.probe_us)
     return false;
--- a/src/core/flow/lc-flow-gate.h
+++ b/src/core/flow/lc-flow-gate.h
@@ -1,39 +1,39 @@
-/* lc-flow-gate: which requests a backend server is given now, and which wait beside it.
+/* lc-flow-gate: admission queue of one backend server: a concurrency limit with adaptive LIFO.
  *
  * WHAT IT IS
- *   A backend server works on as many requests as it has slots, queues a few more in the order in
- *   which they come, and refuses the rest.  When more come than it can work on, after an outage or
- *   while it is slow or cold, its queue is filled with requests that are late already, and each new
- *   one waits behind them: all are late.  The gate keeps that queue short.  It counts the requests
- *   that the server works on, lets no more pass than the slots and a few ahead, and gives another
- * one when a slot frees.  While all that wait can still be in time the oldest goes first, so that
- * none becomes late by chance.  As soon as one is late there is a backlog: the newest goes first
- * then, since it has the best chance, and those that are late get what capacity is left over.
+ *   A backend server works on as many requests as it has slots, queues a few more first in, first
+ *   out, and refuses the rest.  When more come than it can handle, after an outage or while it is
+ *   slow or cold, its queue fills with requests that are late already, and each new one waits
+ *   behind them until it is late, too.  The gate keeps that queue short: it counts the requests in
+ *   flight, passes no more than the slots and a few ahead, and holds the others in the agent until
+ *   a slot frees.  While no waiting request is late, the oldest goes first, so that none becomes
+ *   late by chance.  As soon as one is late there is a backlog: then the newest goes first, being
+ *   the most likely to be in time, and late ones get the capacity that is left over.
  *
  * LOAD PATTERN
- *   All callers of an outage at once, before backend servers that are cold: a backlog of one to two
- *   seconds of requests, new ones at two thirds of the capacity.
+ *   All callers of an outage at once, in front of cold backend servers: a backlog of one to two
+ *   seconds of requests, with new ones at two thirds of the capacity.
  *
  * LIMITS, AND WHY
- *   - A request passes for every slot, and `ahead` more: a slot that frees finds the next request
- *     there, without the time that the agent needs to send it.  One that is late already, whose
- *     caller has waited for most of the latency objective, is given for free slots only: the place
- *     ahead is for the next new one, which would else wait behind it.
- *   - A request that shows no answer for `doubt_us` no longer counts: its caller may have given it
- *     up without a word.  So the count can't leak, and what it holds back comes back by itself.
- *   - When no request has passed for `probe_us`, one passes whatever the count says.
- *   - At most `max_waiting` wait; what comes beyond passes, and the server's own refusal, which is
- *     certain, answers it.
- *   - What has waited for `give_up_us` is given up: its caller is gone.
- *   - A cold backend server gets no more than its rate (lc-cold-limit.h): neither a probe nor too
- *     many that wait let one pass beyond it.
+ *   - A request passes for every slot, and `ahead` more: a slot that frees has its next request at
+ *     once, without waiting for the agent.  A late request, whose caller has waited for most of the
+ *     latency objective, passes for free slots only: in the place ahead it would delay the next
+ *     new one.
+ *   - A request without an answer for `doubt_us` no longer counts, as its caller may have given up
+ *     silently.  So the count can't leak, and held requests resume without outside help.
+ *   - When no request has passed for `probe_us`, one passes whatever the count is.
+ *   - At most `max_waiting` wait; further ones pass, and the server's own refusal answers them for
+ *     certain.
+ *   - A request that has waited for `give_up_us` is dropped: its caller has given up.
+ *   - A cold backend server gets no more than its rate (lc-cold-limit.h): neither a probe nor a
+ *     full queue lets a request pass beyond it.
  *
  * HOW TO USE IT
  *     lc_flow_gate_init (&gate, &desc);
  *     lc_flow_gate_set_server (&gate, slots, objective_us);
  *     if (lc_flow_gate_request (&gate, flow, began_us, now_us) == LC_FLOW_GATE_WAIT)
- *       keep its packets
- *     lc_flow_gate_end (&gate, flow);                         it is answered, or ended otherwise
+ *       hold its packets
+ *     lc_flow_gate_end (&gate, flow);                         answered, or ended otherwise
  *     while (lc_flow_gate_next (&gate, now_us, &flow))
  *       give its packets to the backend server
  *     while (lc_flow_gate_give_up (&gate, now_us, &flow))
@@ -41,8 +41,8 @@
  *     lc_flow_gate_finish (&gate);
  *
  * LIFETIME
- *   `flow` is the caller's own number of a flow, which has at most one request at a time; end it
- *   before the number is used for another.
+ *   `flow` is a number that the user of the gate chooses.  A flow has at most one request at a
+ *   time; end it before its number is reused.
  */
 #ifndef LC_FLOW_GATE_H
 #define LC_FLOW_GATE_H
@@ -58,19 +58,19 @@
 
   typedef enum
   {
-    LC_FLOW_GATE_ADAPTIVE = 0,     /* oldest first, newest first while one that waits is late */
-    LC_FLOW_GATE_NEWEST_FIRST = 1, /* baselines */
+    LC_FLOW_GATE_ADAPTIVE = 0,     /* oldest first; newest first while a waiting request is late */
+    LC_FLOW_GATE_NEWEST_FIRST = 1, /* baselines for benchmarks */
     LC_FLOW_GATE_OLDEST_FIRST = 2,
   } LcFlowGateOrder;
 
   typedef struct
   {
     LcFlowGateOrder order;
-    uint32_t ahead;       /* 0: 1 */
+    uint32_t ahead;       /* requests passed beyond the slots; 0: 1 */
     uint32_t max_waiting; /* 0: 256 */
     int64_t doubt_us;     /* 0: 1 s, longer than slow backend servers take for a request */
-    int64_t probe_us;     /* 0: 200 ms, ten usual requests */
-    int64_t give_up_us;   /* 0: 2 s, the shortest time for which callers wait */
+    int64_t probe_us;     /* 0: 200 ms, ten typical requests */
+    int64_t give_up_us;   /* 0: 2 s, the shortest timeout of callers */
   } LcFlowGateDesc;
 
   typedef enum
@@ -82,42 +82,43 @@
   typedef struct
   {
     uint32_t flow;
-    int64_t at_us; /* working: given then; waiting: its caller began it then */
+    int64_t at_us; /* working: when it passed; waiting: when its caller began it */
   } LcFlowGateRequest;
 
   typedef struct
   {
     LcFlowGateDesc desc;
-    uint32_t slots;   /* of the backend server; 0: not known, nothing waits */
-    int64_t late_us;  /* a request that waits for longer is late */
+    uint32_t slots;   /* of the backend server; 0: not known, all pass */
+    int64_t late_us;  /* a request older than this is late */
     GArray *working;  /* LcFlowGateRequest, the oldest first */
     GArray *waiting;  /* LcFlowGateRequest */
     int64_t moved_us; /* when a request last passed */
     LcColdLimit cold;
     uint64_t waited_total;
     uint64_t given_up_total;
-    uint64_t doubted_total;
+    uint64_t doubted_total; /* not counted any more, for want of an answer */
     uint64_t probes_total;
-    uint64_t overflows_total; /* passed because too many waited */
+    uint64_t overflows_total; /* passed because max_waiting were waiting */
   } LcFlowGate;
 
   void lc_flow_gate_init (LcFlowGate *gate, const LcFlowGateDesc *desc);
   void lc_flow_gate_finish (LcFlowGate *gate);
-  /* `objective_us`: within which a good request of the service is answered; 0: 500 ms. */
+  /* `objective_us`: latency objective of the service; 0: 500 ms. */
   void lc_flow_gate_set_server (LcFlowGate *gate, uint32_t slots, int64_t objective_us);
 
-  /* The first packet of a request, or another one of it. */
+  /* Call it for each packet of a request; the first one submits the request. */
   LcFlowGateVerdict
   lc_flow_gate_request (LcFlowGate *gate, uint32_t flow, int64_t began_us, int64_t now_us);
-  /* The request of this flow, if there is one, is answered, given up or moved. */
+  /* Removes the flow's request, if any: it is answered, given up, or moved to another agent. */
   void lc_flow_gate_end (LcFlowGate *gate, uint32_t flow);
+  /* Passes the next waiting request that there is room for; false: none. */
   bool lc_flow_gate_next (LcFlowGate *gate, int64_t now_us, uint32_t *flow);
+  /* Removes a request that has waited for give_up_us; false: none. */
   bool lc_flow_gate_give_up (LcFlowGate *gate, int64_t now_us, uint32_t *flow);
-  /* Requests that the backend server works on or has before it, and those that wait for it. */
+  /* Requests passed to the backend server and not ended. */
   uint32_t lc_flow_gate_n_working (const LcFlowGate *gate);
   uint32_t lc_flow_gate_n_waiting (const LcFlowGate *gate);
-  /* What a new request competes with here: all that the server has, and those that wait and are not
-   * late.  The late ones go after it, however many there are. */
+  /* Requests that go before a new one: those at the server, and those waiting that are not late. */
   uint32_t lc_flow_gate_load (const LcFlowGate *gate, int64_t now_us);
 
 #ifdef __cplusplus
--- a/src/core/flow/lc-flow-key.h
+++ b/src/core/flow/lc-flow-key.h
@@ -1,9 +1,9 @@
-/* lc-flow-key: what identifies a flow, read safely from a raw IPv4 packet.
+/* lc-flow-key: bounds-checked parser of raw IPv4 packets, and the 5-tuple key of a flow.
  *
  * WHAT IT IS
- *   The fabric hands over the caller's packet as it is: an IPv4 header, then UDP or TCP.  This
- *   module reads addresses, ports and the few flags that steering needs, and checks every length
- *   before it looks.
+ *   The network delivers the caller's packet unchanged: an IPv4 header, then UDP or TCP.  This
+ *   module reads the addresses, the ports and the few flags that steering needs, and checks every
+ *   length before it reads.
  *
  * HOW TO USE IT
  *     LcPacket packet;
@@ -11,11 +11,11 @@
  *       use packet.key ...
  *
  * LIFETIME
- *   Plain values; nothing points into the bytes.
+ *   Plain values without pointers into `bytes`.
  *
  * LIMITS
- *   Fragments other than a whole datagram, other protocols and truncated headers are refused
- *   (LC_ERR_INVALID, LC_ERR_TRUNCATED): a later fragment has no ports to steer by.
+ *   Fragments and other protocols are refused with LC_ERR_INVALID (a later fragment has no ports to
+ *   steer by), truncated headers with LC_ERR_TRUNCATED.
  */
 #ifndef LC_FLOW_KEY_H
 #define LC_FLOW_KEY_H
@@ -28,7 +28,7 @@
 {
 #endif
 
-  /* Sixteen bytes without padding holes, so that it can be hashed and compared as memory. */
+  /* 16 bytes without padding, so that it can be hashed and compared as memory. */
   typedef struct
   {
     uint32_t source_ipv4;
@@ -39,7 +39,7 @@
     uint8_t zero[3];
   } LcFlowKey;
 
-  /* What steering needs to know of a packet. */
+  /* The parsed packet. */
   typedef struct
   {
     LcFlowKey key;
@@ -49,22 +49,22 @@
     uint16_t payload_start; /* of the UDP payload or TCP segment data */
     uint16_t total_len;     /* IPv4 total length; bytes after it are ignored */
 
-    /* Formats in which backend servers return what is not theirs (lc-packet-format.h): */
+    /* Set only by formats in which backend servers return packets (lc-packet-format.h): */
     bool is_accept;    /* of a backend server: it takes the flow, if the caller goes on with it */
     bool is_reset;     /* the sender has ended the flow */
-    bool is_returned;  /* a caller's packet, handed back by a backend server without the flow */
-    uint32_t n_copies; /* first packets: how many copies the caller has sent before */
-    uint32_t sequence; /* place of the first byte of data in what the sender sends */
-    uint32_t acknowledged; /* other packets: the sender's newest acknowledgement */
-    uint32_t mark;         /* ours: given to a backend server, handed back with what it returns */
+    bool is_returned;  /* a caller's packet, returned by a backend server that lacks the flow */
+    uint32_t n_copies; /* first packets: retransmissions before this one */
+    uint32_t sequence; /* offset of the first data byte in the sender's stream */
+    uint32_t acknowledged; /* not in first packets: the sender's latest acknowledgement */
+    uint32_t mark; /* set by the agent; a backend server copies it into the packets it returns */
   } LcPacket;
 
-  /* Surely a flow's first packet, or a copy of it: any packet of a UDP flow may open one, so none
-   * of them is told apart. */
+  /* Whether it is certainly a flow's first packet or a copy of it.  Never true of UDP, where any
+   * packet may open a flow. */
   bool lc_packet_is_first (const LcPacket *packet);
   int lc_packet_parse (LcPacket *packet, const uint8_t *bytes, size_t len);
 
-  /* XXH3 of the key; the same on every machine of one byte order. */
+  /* XXH3 of the key; the same on all machines of one byte order. */
   uint64_t lc_flow_key_hash (const LcFlowKey *key);
   bool lc_flow_key_equal (const LcFlowKey *a, const LcFlowKey *b);
 
--- a/src/core/flow/lc-flow-list.c
+++ b/src/core/flow/lc-flow-list.c
@@ -3,24 +3,22 @@
 #include "lc-flow-agent-private.h"
 #include "lc-flow-balancer.h"
 
-/* Names the assigner, adding it to the list when it is not there. */
 bool
-lc_flow_list_set_assigner (LcEnvelope *e, const LcCandidate *who)
+lc_flow_list_set_assigner (LcEnvelope *e, const LcCandidate *assigner)
 {
   uint8_t i = 0;
 
-  while (i < e->n && !lc_candidate_equal (&e->candidates[i], who))
+  while (i < e->n && !lc_candidate_equal (&e->candidates[i], assigner))
     i++;
   if (i == LC_CANDIDATES_MAX + 2)
     return false;
   if (i == e->n)
-    e->candidates[e->n++] = *who;
+    e->candidates[e->n++] = *assigner;
   e->assigner = i;
   return true;
 }
 
-/* Replaces the list by the one of this agent's own, newer view; the hops left go on.  The packet
- * may be of another service, when its endpoint's address was reused. */
+/* The packet may be of another service, if the address of one of its endpoints was reused here. */
 bool
 lc_flow_list_renew (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet)
 {
@@ -43,8 +41,8 @@
   return is_filled;
 }
 
-/* A balancer below the settled revision is known to be no part of the settling: its list may lack
- * every home. */
+/* A set settles once all counted balancers have acknowledged it.  A balancer below the settled
+ * revision was not counted, so its list may lack every home. */
 bool
 lc_flow_list_is_stale (const LcFlowAgent *a, const LcEnvelope *e)
 {
@@ -58,8 +56,8 @@
   return sets->n_sets > 0 ? sets->sets[sets->n_sets - 1].until_revision : 0;
 }
 
-/* A balancer that has missed a change takes its set for the current one.  By this agent's newer
- * view it is a former set, older than those that came after it. */
+/* A balancer that missed a change ranks its set as the current one.  In this agent's newer view it
+ * is a former set, older than those that followed it. */
 void
 lc_flow_list_correct_rank (const LcFlowAgent *a, LcEnvelope *e)
 {
@@ -73,8 +71,8 @@
       }
 }
 
-/* Keeps the sets as they were before the oldest of them settled: a first packet that left a
- * balancer before it acknowledged may still be under way, and its owner's registrations, too. */
+/* A first packet that left a balancer before it acknowledged the new set may still be in transit,
+ * and so may the registrations of its owner. */
 void
 lc_flow_list_remember_settling (LcFlowAgent *a, int64_t now_us)
 {
@@ -91,8 +89,8 @@
   a->settling_until_us = now_us + LC_FLOW_SETTLE_US;
 }
 
-/* For that time a packet that may open a flow also walks what has settled just now, and is
- * assigned where it would have been before. */
+/* During that time a packet that may open a flow also visits the homes of sets that have just
+ * settled, and is assigned where it would have been before. */
 void
 lc_flow_list_extend (const LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
 {
--- a/src/core/flow/lc-flow-table.c
+++ b/src/core/flow/lc-flow-table.c
@@ -31,7 +31,7 @@
   t->slots[slot] = index + 1;
 }
 
-/* Empties a slot and moves those behind it back, so that look-ups need no tombstones. */
+/* Backward-shift deletion: look-ups need no tombstones. */
 static void
 lc_flow_table__remove_slot (LcFlowTable *t, uint32_t hole)
 {
@@ -249,7 +249,7 @@
 
           if (f->deadline_tick <= t->now_tick + 1)
             {
-              /* Out of the slot already, so that the caller may set any new deadline. */
+              /* Unlinked first, so that the caller may set any new deadline. */
               lc_flow_table__unlink (t, f);
               return f;
             }
--- a/src/core/flow/lc-flow-table.h
+++ b/src/core/flow/lc-flow-table.h
@@ -1,12 +1,12 @@
-/* lc-flow-table: what one agent knows of flows, with expiry in O(1) an event.
+/* lc-flow-table: hash table of an agent's flows, with expiry by a timer wheel in O(1) an event.
  *
  * WHAT IT IS
- *   Entries in one array, found by open addressing over a table of indexes, expired by a timer
- *   wheel.  An entry is one of
- *     OWNED     its backend server has the flow; this agent is the truth about it
- *     POINTER   this agent is or was a home: the flow belongs to another agent
- *     PENDING   a first packet passed on its way to an assigner
- *   An owned entry may stand in the queue of registrations (see lc-pointers).
+ *   Entries in one array, with an open-addressing index and a hashed timer wheel.  An entry is one
+ *   of
+ *     OWNED     its backend server has the flow; this agent is authoritative for it
+ *     POINTER   this agent is or was a home: the entry names the owner, another agent
+ *     PENDING   a first packet passed on its way to an assigner, which the entry names
+ *   An owned entry may be in the queue of registrations to send (see lc-flow-pointers).
  *
  * HOW TO USE IT
  *     lc_flow_table_init (&table, 4096, now_us);
@@ -14,16 +14,16 @@
  *     flow = lc_flow_table_add (&table, &key, hash);        NULL: at max_flows
  *     lc_flow_table_set_deadline (&table, flow, when_us);
  *     while ((flow = lc_flow_table_due (&table, now_us)) != NULL)
- *       lc_flow_table_remove (&table, flow);                or give it a later deadline
+ *       lc_flow_table_remove (&table, flow);                or set a later deadline
  *     lc_flow_table_finish (&table);
  *
  * LIFETIME
- *   Adding may move every entry: a pointer is valid until the next add or remove.  An index
+ *   Adding may move every entry: an LcFlow pointer is valid until the next add or remove.  An index
  *   (lc_flow_table_index) is valid until that entry is removed.
  *
  * LIMITS
- *   Deadlines are rounded up to a tick (LC_FLOW_TICK_US).  A deadline moved later costs nothing:
- * the entry is moved when its old slot comes up, at most once a turn of the wheel.
+ *   Deadlines are rounded up to a tick (LC_FLOW_TICK_US).  Setting a later deadline costs nothing:
+ *   the entry moves when its old slot expires, at most once a turn of the wheel.
  */
 #ifndef LC_FLOW_TABLE_H
 #define LC_FLOW_TABLE_H
@@ -53,26 +53,26 @@
 
   enum
   {
-    LC_FLOW_CONFIRMED = 1, /* POINTER: the owner registered it itself */
-    LC_FLOW_ADOPTED = 2,   /* OWNED: of another agent's backend server */
+    LC_FLOW_CONFIRMED = 1, /* POINTER: registered by the owner itself */
+    LC_FLOW_ADOPTED = 2,   /* OWNED: held by another agent's backend server */
     LC_FLOW_QUEUED = 4,    /* OWNED: in the queue of registrations */
     LC_FLOW_BEHIND = 8,    /* OWNED: not yet registered with the newest homes */
     LC_FLOW_ENDED = 16,    /* OWNED: the last packet passed */
-    LC_FLOW_AT_WORK = 32,  /* OWNED: the caller sent data, and no answer has begun */
+    LC_FLOW_AT_WORK = 32,  /* OWNED: has a request whose answer has not begun */
     LC_FLOW_ANSWERED = 64, /* OWNED: the backend server has sent something */
-    LC_FLOW_WAITING = 128, /* OWNED: at work, but its packets wait beside the backend server */
+    LC_FLOW_WAITING = 128, /* OWNED: AT_WORK, and its packets are held by the gate (lc-flow-gate) */
   };
 
   typedef struct
   {
     LcFlowKey key;
-    LcInstance instance;      /* POINTER: the owner's; PENDING: the assigner's; ADOPTED: origin's */
-    uint64_t revision;        /* POINTER: the owner's view; PENDING: rank of the assigner's set */
-    LcEndpointId endpoint_id; /* the same process */
-    uint32_t ipv4;            /* its agent; ADOPTED: the backend server */
+    LcInstance instance;      /* POINTER: owner's; PENDING: assigner's; ADOPTED: first owner's */
+    uint64_t revision;        /* POINTER: of the owner's view; PENDING: the assigner's set_rank */
+    LcEndpointId endpoint_id; /* of the agent that `instance` is of */
+    uint32_t ipv4;            /* of that agent; ADOPTED: of the backend server */
     uint16_t port;
     uint8_t kind;  /* LcFlowKind */
-    uint8_t flags; /* LC_FLOW_CONFIRMED and so on */
+    uint8_t flags; /* LC_FLOW_CONFIRMED ... */
     uint32_t hash;
     uint32_t deadline_tick;
     uint32_t wheel_next;
@@ -80,19 +80,19 @@
     uint32_t wheel_slot;
     uint32_t queue_next;
     uint32_t queue_prev;
-    uint32_t sets_version; /* OWNED: which homes `acked` speaks of */
-    uint32_t sent_ms;      /* OWNED: last registration sent */
-    uint32_t work_ms;      /* OWNED: when what the backend server has not answered yet was given */
-    uint32_t began_ms;     /* OWNED: when the caller began what its first packet is for; 0: done */
-    uint32_t data_end;     /* OWNED: behind the newest data of the caller; 0: not known */
-    uint32_t expiry_tick;  /* OWNED: idle until then and it ends */
-    uint16_t acked;        /* OWNED: a bit a home */
+    uint32_t sets_version; /* OWNED: of the candidate sets whose homes `acked` is about */
+    uint32_t sent_ms;      /* OWNED: when the last registration was sent */
+    uint32_t work_ms;      /* OWNED: when the unanswered request was given to the backend server */
+    uint32_t began_ms;     /* OWNED: when the caller began its first request; 0: past that one */
+    uint32_t data_end;     /* OWNED: end offset of the caller's newest data; 0: not known */
+    uint32_t expiry_tick;  /* OWNED: when it ends as idle */
+    uint16_t acked;        /* OWNED: bit mask of the homes that acknowledged the registration */
     uint16_t relay_port;   /* OWNED: source port of the relay, for hand-over; 0: none */
-    uint32_t epoch;        /* OWNED, POINTER: hand-overs so far; the higher claim wins */
-    LcEndpointId offered_id; /* OWNED: a hand-over was offered to this agent; 0: none */
+    uint32_t epoch;        /* OWNED, POINTER: number of hand-overs; the higher claim wins */
+    LcEndpointId offered_id; /* OWNED: agent that a hand-over was offered to; 0: none */
     LcInstance offered_instance;
     LcDcId dc;     /* OWNED: where the flow's packets come in; 0: not known */
-    uint32_t user; /* the plane's own mark, for example a socket's index */
+    uint32_t user; /* free for the table's user, for example a socket's index */
   } LcFlow;
 
   typedef struct
@@ -102,10 +102,10 @@
     uint32_t n_flows; /* entries in use */
     uint32_t max_flows;
     uint32_t free_head;
-    uint32_t *slots; /* owned: index + 1, 0 is empty */
+    uint32_t *slots; /* owned; hash index: entry's index + 1, or 0 */
     uint32_t slot_mask;
     uint32_t wheel[LC_FLOW_WHEEL_SLOTS];
-    uint32_t now_tick; /* the slot that was emptied last */
+    uint32_t now_tick; /* tick of the wheel slot that was emptied last */
     uint32_t n_owned;
     uint32_t queue_head;
     uint32_t queue_tail;
@@ -121,13 +121,13 @@
   void lc_flow_table_remove (LcFlowTable *table, LcFlow *flow);
   uint32_t lc_flow_table_index (const LcFlowTable *table, const LcFlow *flow);
 
-  /* Changes the kind and keeps the count of owned entries. */
+  /* Changes the kind and updates the count of owned entries. */
   void lc_flow_table_set_kind (LcFlowTable *table, LcFlow *flow, LcFlowKind kind);
 
   uint32_t lc_flow_tick (int64_t now_us);
   void lc_flow_table_set_deadline (LcFlowTable *table, LcFlow *flow, int64_t when_us);
-  /* The next entry whose deadline has passed, or NULL.  The caller removes it or sets a new
-   * deadline before it asks again. */
+  /* Returns the next entry whose deadline has passed, or NULL.  Remove it or set a new deadline
+   * before the next call. */
   LcFlow *lc_flow_table_due (LcFlowTable *table, int64_t now_us);
 
   /* The queue of registrations: first in, first out. */
@@ -136,8 +136,8 @@
 
   size_t lc_flow_table_bytes (const LcFlowTable *table);
 
-  /* For tests: what is wrong with the queue of registrations, the index or the counts, or NULL.
-   * Looks at every entry. */
+  /* Consistency check for tests, over every entry: what is wrong with the queue of registrations,
+   * the index or the counts, or NULL. */
   const char *lc_flow_table_fault (const LcFlowTable *table);
 
 #ifdef __cplusplus
--- a/src/core/flow/lc-reach.c
+++ b/src/core/flow/lc-reach.c
@@ -8,8 +8,8 @@
   int64_t used_us;       /* last packet sent there */
   int64_t probed_us;     /* last probe; 0: none */
   int64_t unanswered_us; /* the first probe since the last answer; 0: none */
-  bool was_suspect;
-  bool told_suspect; /* what lc_reach_next_change said last */
+  bool was_suspect;      /* at the last lc_reach_due */
+  bool reported_suspect; /* as lc_reach_next_change returned it last */
 } LcReachAgent;
 
 /* === private ================================================================================ */
@@ -67,7 +67,7 @@
   a->used_us = now_us;
 }
 
-/* Those in use, and suspect ones until they answer or are forgotten. */
+/* Agents in use, and suspect ones until they answer or are removed. */
 uint32_t
 lc_reach_due (LcReach *r, int64_t now_us, LcReachAddress *out, uint32_t max)
 {
@@ -154,9 +154,9 @@
       LcReachAgent *a = value;
       bool is_late = lc_reach__is_late (a, now_us);
 
-      if (is_late == a->told_suspect)
+      if (is_late == a->reported_suspect)
         continue;
-      a->told_suspect = is_late;
+      a->reported_suspect = is_late;
       change->address = a->address;
       change->is_suspect = is_late;
       change->silent_us = is_late ? now_us - a->unanswered_us : 0;
--- a/src/core/flow/lc-retarget.c
+++ b/src/core/flow/lc-retarget.c
@@ -22,7 +22,7 @@
   p[1] = (uint8_t)value;
 }
 
-/* A checksum after one 16-bit word changed: ~(~sum + ~before + after). */
+/* The checksum after one 16-bit word changed: ~(~sum + ~before + after). */
 static uint16_t
 lc_retarget__adjust (uint16_t sum, uint16_t before, uint16_t after)
 {
@@ -56,10 +56,10 @@
   uint8_t *sum = transport + (is_udp ? LC_UDP_CHECKSUM_AT : LC_TCP_CHECKSUM_AT);
 
   if (is_udp && lc_retarget__get (sum) == 0)
-    sum = NULL; /* the sender left it out */
+    sum = NULL; /* the packet has no checksum */
   lc_retarget__replace (bytes + LC_IPV4_TARGET_AT, (uint16_t)(ipv4 >> 16), ip_sum, sum);
   lc_retarget__replace (bytes + LC_IPV4_TARGET_AT + 2, (uint16_t)ipv4, ip_sum, sum);
   lc_retarget__replace (transport + LC_PORT_TARGET_AT, port, sum, NULL);
   if (is_udp && sum != NULL && lc_retarget__get (sum) == 0)
-    lc_retarget__put (sum, 0xffff); /* 0 would mean "left out" */
+    lc_retarget__put (sum, 0xffff); /* 0 would mean "no checksum" */
 }
--- a/src/core/flow/lc-retarget.h
+++ b/src/core/flow/lc-retarget.h
@@ -1,9 +1,9 @@
-/* lc-retarget: sends a caller's packet to another address and port.
+/* lc-retarget: destination NAT of a caller's packet.
  *
  * WHAT IT IS
- *   Rewrites the destination of a parsed IPv4 packet in place, keeps the source, and corrects the
- *   IPv4 and the UDP or TCP checksum by the difference alone (RFC 1624), so that a wrong checksum
- *   stays wrong and is found by the receiver.
+ *   Rewrites the destination address and port of a parsed IPv4 packet in place.  The IPv4 and the
+ *   UDP or TCP checksum are updated incrementally (RFC 1624), so that a wrong checksum stays wrong
+ *   and is detected by the receiver.
  *
  * HOW TO USE IT
  *     if (lc_packet_parse (&packet, bytes, len) == 0)
