--- a/tests/flow/prop-cold-limit.cc
+++ b/tests/flow/prop-cold-limit.cc
@@ -1,7 +1,6 @@
-/* Cold backend servers that come back while everybody presses, counted where they stand: whatever
- * agents restart and whatever others know, none is given more in any second than its rate with the
- * stated overshoot and slack.
- */
+/* Property test of the warm-up rate limit: cold backend servers return while callers offer more
+ * than they can take.  Counted at each server, no second has more first packets than the rate with
+ * overshoot and slack, whichever agents restart and however old the others' views are. */
 #include "prop-steps.hh"
 #include "return-world.h"
 
@@ -33,13 +32,13 @@
 struct Load
 {
   RwWorld w;
-  std::vector<int64_t> firsts[N_AGENTS]; /* when each backend server took one */
-  std::vector<int64_t> starts[N_AGENTS]; /* of its agent */
+  std::vector<int64_t> firsts[N_AGENTS]; /* times of the first packets that each server took */
+  std::vector<int64_t> starts[N_AGENTS]; /* start times of its agent */
   uint32_t next_flow;
 };
 
-/* One caller after the other, each with a flow of its own; the table of who holds what is small, so
- * flows are forgotten between them. */
+/* Opens `n` flows in turn, each with a source port of its own.  The world's table of held flows is
+ * small, so its rows are reused. */
 void
 offer (Load &l, uint32_t n)
 {
@@ -70,7 +69,7 @@
   });
 }
 
-/* The bound holds for up to two starts of an agent within a second. */
+/* The limiter guarantees the bound for at most two starts of an agent within a second. */
 void
 check_bound (const Load &l)
 {
@@ -140,10 +139,10 @@
 int
 main ()
 {
-  bool ok = rc::check ("a cold backend server gets no more in any second than it bears",
+  bool ok = rc::check ("a cold backend server gets no more than its bound in any second",
                        [] { run_load (*steps (N_KINDS)); });
 
-  ok = rc::check ("what the cold ones can't take goes to those that can, at once",
+  ok = rc::check ("flows beyond the cold servers' rate go to warm servers at once",
                   [] {
                     uint32_t n = *rc::gen::inRange<uint32_t> (1, RW_N_FLOWS);
                     Load l = {};
--- a/tests/flow/prop-steps.hh
+++ b/tests/flow/prop-steps.hh
@@ -1,8 +1,7 @@
-/* prop-steps: a random series of events, for properties of the flow plane.
+/* prop-steps: RapidCheck generator of random event sequences for property tests of the flow plane.
  *
- * A step is a kind of event, of those that the property counts from 0, and a number that says at
- * whom or how much; the property takes it modulo what it has.
- */
+ * A step has a kind of event, from 0 to n_kinds - 1, and a number for its target or amount, which
+ * the property reduces modulo what it has. */
 #ifndef PROP_STEPS_HH
 #define PROP_STEPS_HH
 
--- a/tests/flow/test-cold-limit.c
+++ b/tests/flow/test-cold-limit.c
@@ -1,4 +1,4 @@
-/* What a cold backend server is given in any second: tables of times. */
+/* The rate limit of a backend server that is warming up, alone and in the admission queue. */
 #include "core/flow/lc-cold-limit.h"
 #include "core/flow/lc-flow-gate.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -17,7 +17,7 @@
   uint32_t rate_mrps;
   uint32_t overshoot_permille;
   uint32_t slack;
-  bool is_known; /* nothing was given before */
+  bool is_known; /* there were no earlier grants */
   bool is_cold;
   struct
   {
@@ -27,45 +27,45 @@
   } bursts[N_BURSTS];
 } CASES[] = {
   { "warm", 10000, 0, 0, true, false, { { 0, 50, 50 } } },
-  { "no rate is stated", 0, 0, 0, true, true, { { 0, 50, 50 } } },
+  { "no limit", 0, 0, 0, true, true, { { 0, 50, 50 } } },
   { "a burst", 10000, 0, 0, true, true, { { 1, 50, 10 } } },
-  { "a burst across two fixed seconds",
+  { "a burst across two fixed windows",
     10000,
     0,
     0,
     true,
     true,
     { { 950, 10, 10 }, { 1050, 10, 0 }, { 1999, 10, 0 }, { 2001, 50, 10 } } },
-  { "as some grants grow old",
+  { "grants expire one by one",
     4000,
     0,
     0,
     true,
     true,
     { { 1, 2, 2 }, { 501, 4, 2 }, { 1052, 4, 2 }, { 1552, 4, 2 } } },
-  { "less than one a second",
+  { "rate below one a second",
     400,
     0,
     0,
     true,
     true,
     { { 1, 3, 1 }, { 1000, 3, 0 }, { 1100, 3, 1 } } },
-  { "more than is counted", 9000000, 0, 0, true, true, { { 1, 2000, LC_COLD_LIMIT_MOST } } },
-  { "an agent that starts, nothing stated beyond the rate",
+  { "rate above the maximum", 9000000, 0, 0, true, true, { { 1, 2000, LC_COLD_LIMIT_MOST } } },
+  { "agent start without overshoot or slack",
     10000,
     0,
     0,
     false,
     true,
     { { 1, 50, 0 }, { 1049, 50, 0 }, { 1050, 50, 10 } } },
-  { "an agent that starts: half of overshoot and slack",
+  { "agent start: half of overshoot and slack",
     20000,
     1500,
     6,
     false,
     true,
     { { 1, 50, 8 }, { 1049, 50, 0 }, { 1050, 50, 12 }, { 1100, 50, 8 } } },
-  { "an agent that starts, with much slack",
+  { "agent start with much slack: at most the rate",
     2000,
     1000,
     100,
@@ -74,7 +74,8 @@
     { { 1, 50, 2 }, { 1060, 50, 2 } } },
 };
 
-START_TEST (test_bursts)
+/* No window of a second gets more than the rate, wherever it begins. */
+START_TEST (test_any_window_keeps_the_rate)
 {
   LcColdLimitDesc desc = { CASES[_i].overshoot_permille, CASES[_i].slack };
   LcColdLimit limit;
@@ -99,7 +100,7 @@
 }
 END_TEST
 
-/* It was warm and started again: what it was given as a warm one counts. */
+/* A warm server restarts and is cold: grants from before the restart count against its rate. */
 START_TEST (test_grants_before_a_cold_start_count)
 {
   LcColdLimitDesc desc = { 0 };
@@ -116,8 +117,8 @@
 }
 END_TEST
 
-/* Requests on open flows: neither a probe nor too many that wait go beyond the rate, and what waits
- * goes on as the window slides. */
+/* In the gate neither a probe nor a full queue exceeds the rate, and waiting requests pass as the
+ * window slides. */
 START_TEST (test_gate_keeps_the_rate)
 {
   LcFlowGateDesc desc = { .max_waiting = 4 };
@@ -157,7 +158,7 @@
   Suite *suite = suite_create ("cold-limit");
   TCase *tcase = tcase_create ("windows");
 
-  tcase_add_loop_test (tcase, test_bursts, 0, (int)G_N_ELEMENTS (CASES));
+  tcase_add_loop_test (tcase, test_any_window_keeps_the_rate, 0, (int)G_N_ELEMENTS (CASES));
   tcase_add_test (tcase, test_grants_before_a_cold_start_count);
   tcase_add_test (tcase, test_gate_keeps_the_rate);
   suite_add_tcase (suite, tcase);
--- a/tests/flow/test-flow-core.c
+++ b/tests/flow/test-flow-core.c
@@ -1,4 +1,5 @@
-/* Parsing, envelope, retargeting, candidate choice, table and assignment: tables of cases. */
+/* Unit tests of the flow plane's parts: packet parser, envelope, destination NAT, messages,
+ * candidate choice, flow table, endpoint selection, forwarding decision and packet buffer. */
 #include "core/flow/lc-assign.h"
 #include "core/flow/lc-candidates.h"
 #include "core/flow/lc-envelope.h"
@@ -106,7 +107,8 @@
       make_packet (bytes, CASES[i].protocol, CASES[i].flags);
       if (CASES[i].at >= 0)
         bytes[CASES[i].at] = CASES[i].value;
-      exact = g_memdup2 (bytes, len - CASES[i].cut); /* so that a read beyond is seen */
+      /* Exactly sized, so that the address sanitizer finds a read beyond the end. */
+      exact = g_memdup2 (bytes, len - CASES[i].cut);
       r = lc_packet_parse (&packet, exact, len - CASES[i].cut);
       g_free (exact);
       ck_assert_msg (r == CASES[i].expected, "%s: %d", CASES[i].what, r);
@@ -119,7 +121,8 @@
 }
 END_TEST
 
-START_TEST (test_retarget_keeps_checksums_right)
+/* A receiver drops a rewritten packet whose checksum was not updated with its destination. */
+START_TEST (test_retarget_keeps_checksums_valid)
 {
   static const uint8_t PROTOCOLS[] = { LC_PROTOCOL_UDP, LC_PROTOCOL_TCP };
 
@@ -162,7 +165,8 @@
   return e;
 }
 
-START_TEST (test_envelope)
+/* Neither a short buffer nor a truncated datagram is read or written beyond its end. */
+START_TEST (test_envelope_round_trip)
 {
   uint8_t bytes[LC_ENVELOPE_MAX_BYTES];
   LcEnvelope e = make_envelope ();
@@ -187,7 +191,7 @@
 }
 END_TEST
 
-START_TEST (test_envelope_refuses)
+START_TEST (test_envelope_rejects_invalid_fields)
 {
   static const struct
   {
@@ -284,7 +288,7 @@
   return lc_flow_key_hash (&key);
 }
 
-START_TEST (test_weights_share_the_flows)
+START_TEST (test_flows_are_shared_by_weight)
 {
   static const uint16_t WEIGHTS[][3] = { { 100, 100, 100 }, { 100, 200, 300 }, { 50, 50, 400 } };
 
@@ -318,7 +322,8 @@
 }
 END_TEST
 
-START_TEST (test_list_ends_with_the_oldest_assigner)
+/* A flow opened through two views at once gets two owners if the views name different assigners. */
+START_TEST (test_unsettled_views_name_the_same_assigner)
 {
   LcView view;
   LcCandidateSets sets = { 0 };
@@ -330,7 +335,7 @@
   LcViewOp settled = { .revision = 3, .kind = LC_VIEW_SETTLED, .settled_revision = 2 };
   ck_assert_int_eq (lc_view_apply (&view, &settled, NULL), 0);
   lc_candidate_sets_compile (&old, lc_view_service (&view, 1));
-  for (uint32_t i = 0; i < 20; i++) /* more changes than a list has room for */
+  for (uint32_t i = 0; i < 20; i++) /* more unsettled sets than fit into a list */
     apply_endpoint (&view, 10 + i, 20 + i, LC_ENDPOINT_ACTIVE, 100);
   lc_candidate_sets_compile (&sets, lc_view_service (&view, 1));
   for (uint32_t i = 0; i < 500; i++)
@@ -354,7 +359,9 @@
 
 /* === table ================================================================================== */
 
-START_TEST (test_table_against_a_model)
+/* Random adds, removals and deadlines against an array of deadlines: no entry is lost, found after
+ * its removal, or expired more than a second late. */
+START_TEST (test_table_matches_a_model)
 {
   LcFlowTable table;
   GRand *random = g_rand_new_with_seed (4);
@@ -405,7 +412,7 @@
 
 /* === assignment ============================================================================= */
 
-START_TEST (test_assign)
+START_TEST (test_assign_chooses_least_loaded)
 {
   static const struct
   {
@@ -415,7 +422,7 @@
     uint8_t bad;      /* bits */
     uint8_t refusing; /* bits */
     uint8_t leaving;  /* bits: not a candidate in the view */
-    LcDcId dc;        /* endpoints 10 and 11 stand in 1, the others in 2 */
+    LcDcId dc;        /* endpoints 10 and 11 are in 1, the others in 2 */
     int expected;     /* endpoint or -1 */
     LcDropReason failure;
   } CASES[] = {
@@ -423,8 +430,8 @@
     { "self within a flow", { 51, 50, 50, 50 }, { 100, 100, 100, 100 }, 0, 0, 0, 0, 10, 0 },
     { "lowest", { 60, 55, 50, 56 }, { 100, 100, 100, 100 }, 0, 0, 0, 0, 12, 0 },
     { "lowest by capacity", { 60, 60, 60, 90 }, { 100, 100, 100, 200 }, 0, 0, 0, 0, 13, 0 },
-    { "one bad is passed over", { 60, 9, 50, 56 }, { 100, 100, 100, 100 }, 2, 0, 0, 0, 12, 0 },
-    { "most bad: the guard", { 60, 9, 50, 56 }, { 100, 100, 100, 100 }, 14, 0, 0, 0, 11, 0 },
+    { "one bad is excluded", { 60, 9, 50, 56 }, { 100, 100, 100, 100 }, 2, 0, 0, 0, 12, 0 },
+    { "most bad: none excluded", { 60, 9, 50, 56 }, { 100, 100, 100, 100 }, 14, 0, 0, 0, 11, 0 },
     { "refusing", { 60, 9, 50, 56 }, { 100, 100, 100, 100 }, 0, 2, 0, 0, 12, 0 },
     { "leaving", { 60, 9, 50, 56 }, { 100, 100, 100, 100 }, 0, 0, 2, 0, 12, 0 },
     { "all at the limit",
@@ -479,7 +486,7 @@
 }
 END_TEST
 
-START_TEST (test_ramp)
+START_TEST (test_slow_start_ramp)
 {
   static const struct
   {
@@ -506,7 +513,7 @@
 
 /* === steering =============================================================================== */
 
-START_TEST (test_steer)
+START_TEST (test_steer_rules)
 {
   static const struct
   {
@@ -536,26 +543,26 @@
       13 },
     { "pointer not confirmed", 1, 1, 5, 111, true, true, 0, LC_FLOW_POINTER, 13, false, 0, 0,
       LC_STEER_OPEN, 13 },
-    { "wrong pointer", 1, 1, 5, 111, true, false, 0, LC_FLOW_POINTER, 13, true, 0, 13,
+    { "stale pointer", 1, 1, 5, 111, true, false, 0, LC_FLOW_POINTER, 13, true, 0, 13,
       LC_STEER_NEXT, 2 },
-    { "unknown walks", 1, 1, 5, 111, false, true, 0, 0, 0, 0, 0, 0, LC_STEER_NEXT, 2 },
-    { "unknown at the end", 1, 2, 5, 111, false, true, 0, 0, 0, 0, 0, 0, LC_STEER_DROP,
+    { "no entry", 1, 1, 5, 111, false, true, 0, 0, 0, 0, 0, 0, LC_STEER_NEXT, 2 },
+    { "no entry, end of the list", 1, 2, 5, 111, false, true, 0, 0, 0, 0, 0, 0, LC_STEER_DROP,
       LC_DROP_NO_OWNER },
-    { "new at the end", 1, 2, 5, 111, true, true, 0, 0, 0, 0, 0, 0, LC_STEER_DEFER, 10 },
+    { "new, end of the list", 1, 2, 5, 111, true, true, 0, 0, 0, 0, 0, 0, LC_STEER_DEFER, 10 },
     { "new at the settled assigner", 1, 0, 5, 111, true, true, 0, 0, 0, 0, 0, 0, LC_STEER_ASSIGN,
       0 },
     { "new at the last assigner", 1, 2, 5, 111, true, false, 0, 0, 0, 0, 0, 0, LC_STEER_ASSIGN, 0 },
-    { "asked to assign", 2, 1, 5, 111, true, false, 0, 0, 0, 0, 0, 0, LC_STEER_ASSIGN, 0 },
-    { "asked, an older set was asked", 2, 1, 5, 111, true, true, 0, LC_FLOW_PENDING, 14, 0, 7, 0,
-      LC_STEER_DEFER, 14 },
-    { "asked, no first packet", 2, 1, 5, 111, false, false, 0, 0, 0, 0, 0, 0, LC_STEER_DROP,
+    { "ASSIGN", 2, 1, 5, 111, true, false, 0, 0, 0, 0, 0, 0, LC_STEER_ASSIGN, 0 },
+    { "ASSIGN, an older assigner is pending", 2, 1, 5, 111, true, true, 0, LC_FLOW_PENDING, 14, 0,
+      7, 0, LC_STEER_DEFER, 14 },
+    { "ASSIGN, not a first packet", 2, 1, 5, 111, false, false, 0, 0, 0, 0, 0, 0, LC_STEER_DROP,
       LC_DROP_NO_OWNER },
-    { "given", 4, 1, 5, 111, true, true, false, 0, 0, 0, 0, 0, LC_STEER_TAKE, 0 },
-    { "given while leaving", 4, 1, 5, 111, true, true, true, 0, 0, 0, 0, 0, LC_STEER_REFUSE,
+    { "OPEN", 4, 1, 5, 111, true, true, false, 0, 0, 0, 0, 0, LC_STEER_TAKE, 0 },
+    { "OPEN while leaving", 4, 1, 5, 111, true, true, true, 0, 0, 0, 0, 0, LC_STEER_REFUSE,
       LC_DROP_LEAVING },
-    { "given, known to another", 4, 1, 5, 111, true, true, 0, LC_FLOW_POINTER, 13, true, 0, 0,
+    { "OPEN, another agent owns it", 4, 1, 5, 111, true, true, 0, LC_FLOW_POINTER, 13, true, 0, 0,
       LC_STEER_OWNER, 13 },
-    { "named owner, not owned", 3, 0, 5, 111, false, true, 0, 0, 0, 0, 0, 0, LC_STEER_NEXT, 1 },
+    { "OWNER, not owned here", 3, 0, 5, 111, false, true, 0, 0, 0, 0, 0, 0, LC_STEER_NEXT, 1 },
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (CASES); i++)
@@ -593,7 +600,6 @@
 }
 END_TEST
 
-/* Only where a first packet can be told apart is it said to be one. */
 static const struct
 {
   uint8_t protocol;
@@ -605,7 +611,8 @@
   { LC_PROTOCOL_UDP, true, false },
 };
 
-START_TEST (test_first_packets)
+/* Any packet of a UDP flow may open it, so none is certainly the first. */
+START_TEST (test_udp_packet_is_never_first)
 {
   LcPacket packet = { .may_open = FIRST[_i].may_open, .key.protocol = FIRST[_i].protocol };
 
@@ -613,52 +620,53 @@
 }
 END_TEST
 
-/* === packets that wait for a view =========================================================== */
+/* === packet buffer ========================================================================== */
 
-/* Packets come one a millisecond; the first `n` of them, then the rest is asked for at `at_ms`. */
+/* `n` packets arrive, one each millisecond, and are taken out at `at_ms`. */
 static const struct
 {
   uint32_t n;
   size_t len;
   int64_t at_ms;
-  uint32_t first; /* number of the first that is handed out */
+  uint32_t first; /* number of the first packet that is taken out */
   uint32_t n_out;
-} HELD[] = {
+} BUFFERED[] = {
   { 0, 100, 0, 0, 0 },
   { 1, 100, 0, 0, 1 },
   { 3, LC_PACKET_HOLD_BYTES, 3, 0, 3 },
   { 3, LC_PACKET_HOLD_BYTES + 1, 3, 0, 0 },
   { LC_PACKET_HOLD_MAX, 40, 300, 0, LC_PACKET_HOLD_MAX },
   { LC_PACKET_HOLD_MAX + 7, 40, 300, 7, LC_PACKET_HOLD_MAX },
-  { 10, 40, 1205, 5, 5 }, /* those that came within 1.2 s */
+  { 10, 40, 1205, 5, 5 }, /* those that arrived within the last 1.2 s */
   { 10, 40, 1209, 9, 1 },
   { 10, 40, 1210, 0, 0 },
 };
 
-START_TEST (test_held_packets)
+/* A full buffer drops the oldest packets; expired and oversized ones are dropped and counted. */
+START_TEST (test_packet_buffer)
 {
   uint8_t bytes[LC_PACKET_HOLD_BYTES + 1] = { 0 };
   LcPacketHold hold = { 0 };
   LcHeldPacket *packet;
   uint32_t n_out = 0;
 
-  for (uint32_t i = 0; i < HELD[_i].n; i++)
+  for (uint32_t i = 0; i < BUFFERED[_i].n; i++)
     {
       memcpy (bytes, &i, sizeof i);
-      lc_packet_hold_put (&hold, bytes, HELD[_i].len, (int64_t)i * LC_US_PER_MS);
+      lc_packet_hold_put (&hold, bytes, BUFFERED[_i].len, (int64_t)i * LC_US_PER_MS);
     }
-  while ((packet = lc_packet_hold_next (&hold, HELD[_i].at_ms * LC_US_PER_MS)) != NULL)
+  while ((packet = lc_packet_hold_next (&hold, BUFFERED[_i].at_ms * LC_US_PER_MS)) != NULL)
     {
       uint32_t number;
 
       memcpy (&number, packet->bytes, sizeof number);
-      ck_assert_uint_eq (number, HELD[_i].first + n_out);
-      ck_assert_uint_eq (packet->len, HELD[_i].len);
+      ck_assert_uint_eq (number, BUFFERED[_i].first + n_out);
+      ck_assert_uint_eq (packet->len, BUFFERED[_i].len);
       n_out++;
     }
-  ck_assert_uint_eq (n_out, HELD[_i].n_out);
-  ck_assert_uint_eq (hold.dropped_total, HELD[_i].n - n_out);
-  ck_assert_ptr_null (hold.packets); /* given back */
+  ck_assert_uint_eq (n_out, BUFFERED[_i].n_out);
+  ck_assert_uint_eq (hold.dropped_total, BUFFERED[_i].n - n_out);
+  ck_assert_ptr_null (hold.packets); /* freed */
 }
 END_TEST
 
@@ -669,18 +677,18 @@
   TCase *tcase = tcase_create ("core");
 
   tcase_add_test (tcase, test_parse);
-  tcase_add_test (tcase, test_retarget_keeps_checksums_right);
-  tcase_add_test (tcase, test_envelope);
-  tcase_add_test (tcase, test_envelope_refuses);
+  tcase_add_test (tcase, test_retarget_keeps_checksums_valid);
+  tcase_add_test (tcase, test_envelope_round_trip);
+  tcase_add_test (tcase, test_envelope_rejects_invalid_fields);
   tcase_add_test (tcase, test_message_round_trip);
-  tcase_add_test (tcase, test_weights_share_the_flows);
-  tcase_add_test (tcase, test_list_ends_with_the_oldest_assigner);
-  tcase_add_test (tcase, test_table_against_a_model);
-  tcase_add_test (tcase, test_assign);
-  tcase_add_test (tcase, test_ramp);
-  tcase_add_test (tcase, test_steer);
-  tcase_add_loop_test (tcase, test_first_packets, 0, (int)G_N_ELEMENTS (FIRST));
-  tcase_add_loop_test (tcase, test_held_packets, 0, (int)G_N_ELEMENTS (HELD));
+  tcase_add_test (tcase, test_flows_are_shared_by_weight);
+  tcase_add_test (tcase, test_unsettled_views_name_the_same_assigner);
+  tcase_add_test (tcase, test_table_matches_a_model);
+  tcase_add_test (tcase, test_assign_chooses_least_loaded);
+  tcase_add_test (tcase, test_slow_start_ramp);
+  tcase_add_test (tcase, test_steer_rules);
+  tcase_add_loop_test (tcase, test_udp_packet_is_never_first, 0, (int)G_N_ELEMENTS (FIRST));
+  tcase_add_loop_test (tcase, test_packet_buffer, 0, (int)G_N_ELEMENTS (BUFFERED));
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
--- a/tests/flow/test-flow-gate.c
+++ b/tests/flow/test-flow-gate.c
@@ -1,4 +1,5 @@
-/* Which requests wait beside a backend server, and which goes next: tables of steps. */
+/* The admission queue of a backend server: which requests pass, wait, go next and are dropped, and
+ * a simulated backlog after an outage. */
 #include "core/flow/lc-flow-gate.h"
 #include "core/flow/lc-flow-returners.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -10,16 +11,16 @@
 {
   N_STEPS = 12,
   MS = LC_US_PER_MS,
-  OBJECTIVE_MS = 500, /* late after 400 ms */
+  OBJECTIVE_MS = 500, /* a request is late after 400 ms */
 };
 
 typedef enum
 {
   END_OF_STEPS,
-  ASK,     /* flow, began at `began_ms`; `expected` is the verdict */
-  END,     /* flow */
-  NEXT,    /* `expected` is the flow that goes, 0: none */
-  GIVE_UP, /* `expected` is the flow that is given up, 0: none */
+  ASK,     /* request of `flow`, begun at `began_ms`; `expected` is the verdict */
+  END,     /* the request of `flow` ends */
+  NEXT,    /* `expected` is the flow whose request passes, 0: none */
+  GIVE_UP, /* `expected` is the flow whose request is dropped, 0: none */
 } StepKind;
 
 typedef struct
@@ -43,19 +44,19 @@
 #define PASSES LC_FLOW_GATE_PASS
 #define WAITS LC_FLOW_GATE_WAIT
 
-/* One slot and one ahead, but where slots are not known. */
+/* One request ahead of the slots. */
 static const Case CASES[] = {
-  { "the slot and one ahead",
+  { "one for the slot and one ahead",
     LC_FLOW_GATE_NEWEST_FIRST,
     1,
     0,
     { { ASK, 0, 1, 0, PASSES }, { ASK, 0, 2, 0, PASSES }, { ASK, 0, 3, 0, WAITS } } },
-  { "slots are not known",
+  { "unknown slots: all pass",
     LC_FLOW_GATE_NEWEST_FIRST,
     0,
     0,
     { { ASK, 0, 1, 0, PASSES }, { ASK, 0, 2, 0, PASSES }, { ASK, 0, 3, 0, PASSES } } },
-  { "more packets of the same request",
+  { "further packets of the same request",
     LC_FLOW_GATE_NEWEST_FIRST,
     1,
     0,
@@ -64,7 +65,7 @@
       { ASK, 0, 1, 0, PASSES },
       { ASK, 0, 3, 0, WAITS },
       { ASK, 1, 3, 1, WAITS } } },
-  { "the newest goes first",
+  { "newest first",
     LC_FLOW_GATE_NEWEST_FIRST,
     1,
     0,
@@ -78,7 +79,7 @@
       { NEXT, 30, 0, 0, 0 },
       { END, 40, 2, 0, 0 },
       { NEXT, 40, 0, 0, 3 } } },
-  { "the oldest goes first, also before a newcomer",
+  { "oldest first, also before a new request",
     LC_FLOW_GATE_OLDEST_FIRST,
     1,
     0,
@@ -88,7 +89,7 @@
       { END, 20, 1, 0, 0 },
       { ASK, 20, 4, 20, WAITS },
       { NEXT, 20, 0, 0, 3 } } },
-  { "one whose caller waits for long already comes after one that is new",
+  { "newest by when the caller began, not by arrival",
     LC_FLOW_GATE_NEWEST_FIRST,
     1,
     0,
@@ -98,7 +99,7 @@
       { ASK, 20, 4, -380, WAITS },
       { END, 30, 1, 0, 0 },
       { NEXT, 30, 0, 0, 3 } } },
-  { "while none is late the oldest goes first",
+  { "adaptive: oldest first while none is late",
     LC_FLOW_GATE_ADAPTIVE,
     1,
     0,
@@ -110,7 +111,7 @@
       { NEXT, 30, 0, 0, 3 },
       { END, 40, 2, 0, 0 },
       { NEXT, 40, 0, 0, 4 } } },
-  { "as soon as one is late the newest goes first",
+  { "adaptive: newest first while one is late",
     LC_FLOW_GATE_ADAPTIVE,
     1,
     0,
@@ -126,7 +127,7 @@
       { END, 50, 4, 0, 0 },
       { END, 50, 5, 0, 0 },
       { NEXT, 50, 0, 0, 3 } } },
-  { "one that ends while it waits",
+  { "a waiting request that ends",
     LC_FLOW_GATE_NEWEST_FIRST,
     1,
     0,
@@ -136,7 +137,7 @@
       { END, 20, 3, 0, 0 },
       { END, 30, 1, 0, 0 },
       { NEXT, 30, 0, 0, 0 } } },
-  { "what never shows an answer is doubted after a second",
+  { "a request without an answer stops counting after a second",
     LC_FLOW_GATE_NEWEST_FIRST,
     1,
     0,
@@ -147,7 +148,7 @@
       { NEXT, 999, 0, 0, 0 },
       { NEXT, 1000, 0, 0, 4 },
       { ASK, 1000, 5, 1000, WAITS } } },
-  { "a probe passes when nothing else does",
+  { "a probe passes when nothing has for 200 ms",
     LC_FLOW_GATE_NEWEST_FIRST,
     1,
     0,
@@ -159,7 +160,7 @@
       { NEXT, 200, 0, 0, 4 },
       { NEXT, 200, 0, 0, 0 },
       { NEXT, 400, 0, 0, 3 } } },
-  { "a late one is given for a free slot only",
+  { "a late request passes for a free slot only",
     LC_FLOW_GATE_NEWEST_FIRST,
     1,
     0,
@@ -173,7 +174,7 @@
       { NEXT, 40, 0, 0, 0 },
       { END, 50, 4, 0, 0 },
       { NEXT, 50, 0, 0, 3 } } },
-  { "too many wait",
+  { "a request beyond max_waiting passes",
     LC_FLOW_GATE_NEWEST_FIRST,
     1,
     1,
@@ -182,7 +183,7 @@
       { ASK, 0, 3, 0, WAITS },
       { ASK, 0, 4, 0, PASSES },
       { NEXT, 0, 0, 0, 0 } } },
-  { "its caller is gone",
+  { "a request is dropped after its caller's timeout",
     LC_FLOW_GATE_NEWEST_FIRST,
     1,
     0,
@@ -217,7 +218,8 @@
   return 0;
 }
 
-START_TEST (test_steps)
+/* A wrong order or count here makes all requests late after an outage, or holds some for ever. */
+START_TEST (test_admission_order)
 {
   const Case *c = &CASES[_i];
   LcFlowGateDesc desc = { .order = c->order, .max_waiting = c->max_waiting };
@@ -235,8 +237,8 @@
 }
 END_TEST
 
-/* What a new request competes with: not those that are late. */
-START_TEST (test_load)
+/* Late requests go after a new one, so they don't count as load. */
+START_TEST (test_load_excludes_late_requests)
 {
   LcFlowGateDesc desc = { 0 };
   LcFlowGate gate;
@@ -253,8 +255,8 @@
 }
 END_TEST
 
-/* Callers that come back: once for each lost flow, and only soon after it. */
-START_TEST (test_returners)
+/* A caller counts as returning once for each flow that it lost, and only for 250 ms after. */
+START_TEST (test_returning_callers)
 {
   static LcFlowReturners r;
   int64_t now_us = 7000 * MS;
@@ -269,7 +271,7 @@
   ck_assert (lc_flow_returners_take (&r, 1, now_us + 30 * MS));
   ck_assert (!lc_flow_returners_take (&r, 1, now_us + 30 * MS));
   ck_assert (!lc_flow_returners_take (&r, 2, now_us + 271 * MS));
-  /* The oldest make room. */
+  /* A full table drops the oldest. */
   lc_flow_returners_lost (&r, 9, now_us + 300 * MS);
   for (uint32_t i = 0; i < LC_FLOW_RETURNERS_MAX; i++)
     lc_flow_returners_lost (&r, 100 + i, now_us + 300 * MS);
@@ -278,11 +280,11 @@
 }
 END_TEST
 
-/* === the load after an outage =============================================================== */
+/* === backlog after an outage ================================================================ */
 
-/* One backend server that has just started, cold, and the callers of an outage of 1.2 s before it,
- * all at once; new ones go on at two thirds of what it can do.  It works on `SERVER_SLOTS`
- * requests, queues `SERVER_QUEUE` in the order in which they come and refuses the rest. */
+/* A cold backend server has just started.  The callers of an outage of 1.2 s reach it all at once,
+ * and new ones follow at two thirds of its capacity.  It works on `SERVER_SLOTS` requests, queues
+ * `SERVER_QUEUE` first in, first out, and refuses the rest. */
 enum
 {
   SERVER_SLOTS = 3,
@@ -292,40 +294,40 @@
   BACKLOG_MS = 1200,
   NEW_EACH_MS = 19,
   AIM_MS = 120,
-  REPLAY_MS = 2000,
+  SIMULATED_MS = 2000,
   N_REQUESTS = 512,
 };
 
 typedef struct
 {
-  int64_t born_ms;
-  int64_t ends_ms; /* 0: not yet at work */
-} Asked;
+  int64_t began_ms;
+  int64_t ends_ms; /* 0: not started */
+} Request;
 
 typedef struct
 {
   LcFlowGate gate;
   bool has_gate;
-  Asked asked[N_REQUESTS];
-  uint32_t n_asked;
+  Request requests[N_REQUESTS];
+  uint32_t n_requests;
   uint32_t at_work[SERVER_SLOTS];
   uint32_t n_at_work;
   uint32_t queue[SERVER_QUEUE];
   uint32_t n_queued;
   uint32_t n_refused;
-  uint32_t n_new;         /* asked after the outage */
-  uint32_t n_new_in_time; /* of them */
-} Replay;
+  uint32_t n_new;         /* sent after the outage */
+  uint32_t n_new_in_time; /* of them, answered within AIM_MS */
+} Simulation;
 
 static void
-start_work (Replay *r, uint32_t request, int64_t now_ms)
+start_work (Simulation *r, uint32_t request, int64_t now_ms)
 {
-  r->asked[request].ends_ms = now_ms + COLD_WORK_MS;
+  r->requests[request].ends_ms = now_ms + COLD_WORK_MS;
   r->at_work[r->n_at_work++] = request;
 }
 
 static void
-give (Replay *r, uint32_t request, int64_t now_ms)
+give_to_server (Simulation *r, uint32_t request, int64_t now_ms)
 {
   if (r->n_at_work < SERVER_SLOTS)
     start_work (r, request, now_ms);
@@ -339,31 +341,31 @@
 }
 
 static void
-ask (Replay *r, int64_t born_ms, int64_t now_ms)
+send_request (Simulation *r, int64_t began_ms, int64_t now_ms)
 {
-  uint32_t request = r->n_asked++;
+  uint32_t request = r->n_requests++;
 
-  r->asked[request].born_ms = born_ms;
-  r->n_new += born_ms >= 0;
+  r->requests[request].began_ms = began_ms;
+  r->n_new += began_ms >= 0;
   if (!r->has_gate ||
-      lc_flow_gate_request (&r->gate, request, born_ms * MS, now_ms * MS) == LC_FLOW_GATE_PASS)
-    give (r, request, now_ms);
+      lc_flow_gate_request (&r->gate, request, began_ms * MS, now_ms * MS) == LC_FLOW_GATE_PASS)
+    give_to_server (r, request, now_ms);
 }
 
 static void
-finish_work (Replay *r, int64_t now_ms)
+finish_work (Simulation *r, int64_t now_ms)
 {
   for (uint32_t i = 0; i < r->n_at_work;)
     {
       uint32_t request = r->at_work[i];
-      const Asked *a = &r->asked[request];
+      const Request *a = &r->requests[request];
 
       if (a->ends_ms > now_ms)
         {
           i++;
           continue;
         }
-      r->n_new_in_time += a->born_ms >= 0 && now_ms - a->born_ms <= AIM_MS;
+      r->n_new_in_time += a->began_ms >= 0 && now_ms - a->began_ms <= AIM_MS;
       r->at_work[i] = r->at_work[--r->n_at_work];
       lc_flow_gate_end (&r->gate, request);
       if (r->n_queued == 0)
@@ -374,7 +376,7 @@
 }
 
 static void
-replay (Replay *r, bool has_gate, LcFlowGateOrder order)
+simulate (Simulation *r, bool has_gate, LcFlowGateOrder order)
 {
   LcFlowGateDesc desc = { .order = order };
   uint32_t flow;
@@ -383,16 +385,16 @@
   r->has_gate = has_gate;
   lc_flow_gate_init (&r->gate, &desc);
   lc_flow_gate_set_server (&r->gate, SERVER_SLOTS, AIM_MS * MS);
-  for (int64_t now_ms = 0; now_ms < REPLAY_MS + AIM_MS; now_ms++)
+  for (int64_t now_ms = 0; now_ms < SIMULATED_MS + AIM_MS; now_ms++)
     {
       finish_work (r, now_ms);
-      /* The callers of the outage come within 100 ms. */
+      /* The callers of the outage arrive within 100 ms. */
       if (now_ms < 100 && now_ms * BACKLOG / 100 < (now_ms + 1) * BACKLOG / 100)
-        ask (r, now_ms - 1 - (now_ms * 7919) % BACKLOG_MS, now_ms);
-      if (now_ms % NEW_EACH_MS == 0 && now_ms < REPLAY_MS)
-        ask (r, now_ms, now_ms);
+        send_request (r, now_ms - 1 - (now_ms * 7919) % BACKLOG_MS, now_ms);
+      if (now_ms % NEW_EACH_MS == 0 && now_ms < SIMULATED_MS)
+        send_request (r, now_ms, now_ms);
       while (r->has_gate && lc_flow_gate_next (&r->gate, now_ms * MS, &flow))
-        give (r, flow, now_ms);
+        give_to_server (r, flow, now_ms);
       while (lc_flow_gate_give_up (&r->gate, now_ms * MS, &flow))
         ;
     }
@@ -408,26 +410,28 @@
   uint32_t most_percent;
   uint32_t least_refused;
   uint32_t most_refused;
-} REPLAYS[] = {
+} SIMULATIONS[] = {
   { "the server's own queue", false, 0, 0, 89, 40, 64 },
   { "oldest first", true, LC_FLOW_GATE_OLDEST_FIRST, 0, 60, 0, 0 },
   { "newest first", true, LC_FLOW_GATE_NEWEST_FIRST, 90, 100, 0, 0 },
   { "newest first while there is a backlog", true, LC_FLOW_GATE_ADAPTIVE, 90, 100, 0, 0 },
 };
 
-START_TEST (test_after_an_outage)
+/* First in, first out, new requests wait behind the backlog until they are late, too. */
+START_TEST (test_new_requests_are_in_time_after_an_outage)
 {
-  static Replay r;
+  static Simulation r;
   uint32_t percent;
 
-  replay (&r, REPLAYS[_i].has_gate, REPLAYS[_i].order);
+  simulate (&r, SIMULATIONS[_i].has_gate, SIMULATIONS[_i].order);
   percent = r.n_new_in_time * 100 / r.n_new;
-  ck_assert_msg (percent >= REPLAYS[_i].least_percent && percent <= REPLAYS[_i].most_percent,
-                 "%s: %u %% of %u in time, %u refused", REPLAYS[_i].what, percent, r.n_new,
+  ck_assert_msg (percent >= SIMULATIONS[_i].least_percent &&
+                     percent <= SIMULATIONS[_i].most_percent,
+                 "%s: %u %% of %u in time, %u refused", SIMULATIONS[_i].what, percent, r.n_new,
                  r.n_refused);
-  ck_assert_msg (r.n_refused >= REPLAYS[_i].least_refused &&
-                     r.n_refused <= REPLAYS[_i].most_refused,
-                 "%s: %u refused", REPLAYS[_i].what, r.n_refused);
+  ck_assert_msg (r.n_refused >= SIMULATIONS[_i].least_refused &&
+                     r.n_refused <= SIMULATIONS[_i].most_refused,
+                 "%s: %u refused", SIMULATIONS[_i].what, r.n_refused);
 }
 END_TEST
 
@@ -437,10 +441,11 @@
   Suite *suite = suite_create ("flow-gate");
   TCase *tcase = tcase_create ("gate");
 
-  tcase_add_loop_test (tcase, test_steps, 0, (int)(sizeof CASES / sizeof CASES[0]));
-  tcase_add_loop_test (tcase, test_after_an_outage, 0, (int)(sizeof REPLAYS / sizeof REPLAYS[0]));
-  tcase_add_test (tcase, test_load);
-  tcase_add_test (tcase, test_returners);
+  tcase_add_loop_test (tcase, test_admission_order, 0, (int)(sizeof CASES / sizeof CASES[0]));
+  tcase_add_loop_test (tcase, test_new_requests_are_in_time_after_an_outage, 0,
+                       (int)(sizeof SIMULATIONS / sizeof SIMULATIONS[0]));
+  tcase_add_test (tcase, test_load_excludes_late_requests);
+  tcase_add_test (tcase, test_returning_callers);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
