--- a/tests/flow/flow-order.hh
+++ b/tests/flow/flow-order.hh
@@ -1,6 +1,6 @@
-/* flow-order: one order of changes in the world of fakes, played and judged.
+/* flow-order: runs a sequence of changes in the simulated flow plane and checks its invariants.
  *
- * A weather says how late and how lost messages are; steps are changes with gaps between them. */
+ * Network has the simulated network's delays and loss; steps are changes with gaps between them. */
 #ifndef FLOW_ORDER_HH
 #define FLOW_ORDER_HH
 
@@ -18,17 +18,17 @@
   uint32_t amount;
 };
 
-struct Weather
+struct Network
 {
   uint64_t seed;
   bool is_udp;
   int64_t reorder_us;
   int64_t view_delay_us;
-  int64_t uneven_us;
+  int64_t uneven_us; /* additional view delay of one balancer in three */
   uint32_t loss_permille;
 };
 
-/* TRACE_FLOW=37 prints where that flow's packets and messages went. */
+/* TRACE_FLOW=37 prints the path of that flow's packets and messages. */
 inline uint32_t
 traced_flow ()
 {
@@ -38,7 +38,7 @@
 }
 
 inline LcFlowWorldDesc
-describe (const Weather &w)
+world_desc (const Network &w)
 {
   LcFlowWorldDesc desc = {};
 
@@ -64,7 +64,7 @@
 struct Outcome
 {
   LcFlowWorldCounts counts;
-  std::string complaint;
+  std::string violation; /* empty: none */
 };
 
 inline Outcome
@@ -80,25 +80,25 @@
 
       when_us += s.gap_us;
       if (when_us > 36 * LC_US_PER_S)
-        break; /* what it breaks would not be seen before the end */
+        break; /* too late for a broken flow to show before the end */
       lc_flow_world_at (world, when_us, change);
     }
   lc_flow_world_run (world);
   outcome.counts = *lc_flow_world_counts (world);
-  outcome.complaint = lc_flow_world_complaint (world);
+  outcome.violation = lc_flow_world_complaint (world);
   lc_flow_world_free (world);
   return outcome;
 }
 
 inline bool
-holds (const Outcome &o)
+keeps_invariants (const Outcome &o)
 {
   return o.counts.broken == o.counts.doomed && o.counts.second_owners == 0 &&
          o.counts.table_faults == 0 && o.counts.misdelivered == 0 && o.counts.late_accepts == 0 &&
          o.counts.endless == 0;
 }
 
-/* A balancer that returns after hundreds of revisions, having steered by its old view meanwhile. */
+/* A balancer that reconnects after hundreds of revisions, having steered by its old view. */
 inline std::vector<Step>
 long_absence (uint32_t revisions, uint32_t subject)
 {
--- a/tests/flow/prop-evacuation.cc
+++ b/tests/flow/prop-evacuation.cc
@@ -1,5 +1,5 @@
-/* Evacuations in random orders, searched by RapidCheck: what operators order and take back through
- * VMs that lag, and what first packets reach while views lag and agents restart.
+/* Property tests of evacuations: orders and their reversal through VMs that lag behind, and where
+ * first packets go while views lag and agents restart.
  */
 #include "core/control/lc-evacuation.h"
 #include "prop-steps.hh"
@@ -12,7 +12,7 @@
 namespace
 {
 
-const int N_AGENTS = 4; /* two in each data centre; the world has one more, that is in no view */
+const int N_AGENTS = 4; /* two in each data centre; the world has a fifth, which is in no view */
 const int N_DCS = 2;
 
 enum Kind
@@ -23,7 +23,7 @@
   RESTART,
   SHOW_AGENT,
   SHOW_BALANCER,
-  CHANGE, /* a change of the view that has nothing to do with it */
+  CHANGE, /* an unrelated change of the view */
   SETTLE,
   N_KINDS
 };
@@ -34,8 +34,8 @@
   return (LcDcId)(subject % N_DCS + 1);
 }
 
-/* A backend server whose own agent knows of the evacuation gets no first packet, whatever others
- * know; all that were opened are held once. */
+/* A backend server whose own agent has the evacuation in its view gets no first packet, whatever
+ * the others' views; each opened flow is held by exactly one. */
 void
 open_flow (RwWorld &w, uint32_t flow)
 {
@@ -85,7 +85,7 @@
     }
 }
 
-/* Whoever holds a flow gets its packets, also where nothing new is given. */
+/* The holder of a flow gets its packets, also in an evacuated data centre. */
 void
 send_data (RwWorld &w, uint32_t flow)
 {
@@ -101,15 +101,15 @@
   RC_ASSERT (after > before);
 }
 
-/* Once everybody has seen the newest view: all open flows are reached, and new ones are opened if
- * there is a data centre left. */
+/* Once all have the newest view: all open flows are reached, and new ones open if a data centre is
+ * left. */
 void
 check_end (RwWorld &w)
 {
   bool is_any_left = false;
 
   rw_show_view (&w);
-  rw_pass (&w, 2 * LC_US_PER_S); /* who refused is asked again a second later */
+  rw_pass (&w, 2 * LC_US_PER_S); /* an endpoint that refused is excluded for a second */
   rw_settle (&w);
   for (uint32_t flow = 0; flow < RW_N_FLOWS; flow++)
     if (rw_n_held (&w, flow) != 0)
@@ -144,21 +144,21 @@
 
 /* === orders ================================================================================= */
 
-/* One copy of an order, at the VM that took it. */
+/* A copy of an order, delayed at the VM that received it. */
 struct Copy
 {
   bool is_wanted;
   LcRevision seen;
 };
 
-/* An operator gives orders one after the other, each to VMs that lag by up to two changes until one
- * answers that it is in force.  Copies that were not carried out then may be at any later time:
- * they never change what the operator was told last. */
+/* An operator gives one order after the other, each to VMs that lag by up to two changes until one
+ * answers that it is in force.  Copies that were delayed may be carried out at any later time: they
+ * must never change what the last answer confirmed. */
 void
 give_orders (const std::vector<uint32_t> &draws)
 {
   std::vector<LcRevision> changes = { 0 };
-  std::vector<Copy> held_up;
+  std::vector<Copy> delayed;
   LcDataCentre dc = {};
   LcRevision revision = 0;
   bool is_wanted = false;
@@ -179,7 +179,7 @@
           order.seen_revision = changes[sees];
           if (attempt == 0 && draw % 2 == 0)
             {
-              held_up.push_back ({ is_wanted, order.seen_revision });
+              delayed.push_back ({ is_wanted, order.seen_revision });
               continue;
             }
           if (lc_evacuation_decide (&order, &dc) == LC_EVACUATION_OVERTAKEN)
@@ -189,7 +189,7 @@
           changes.push_back (revision);
           is_done = true;
         }
-      for (const Copy &copy : held_up)
+      for (const Copy &copy : delayed)
         {
           LcEvacuation late = {};
 
@@ -206,11 +206,10 @@
 int
 main ()
 {
-  bool ok =
-      rc::check ("an evacuated data centre gets no first packet that its agents know to refuse",
-                 [] { run_world (*steps (N_KINDS)); });
+  bool ok = rc::check ("a backend server gets no first packet once its agent has the evacuation",
+                       [] { run_world (*steps (N_KINDS)); });
 
-  ok = rc::check ("an order that was held up changes nothing after its operator was answered",
+  ok = rc::check ("a delayed copy of an order changes nothing after the order was answered",
                   [] {
                     give_orders (*rc::gen::container<std::vector<uint32_t> > (
                         rc::gen::inRange<uint32_t> (0, 1000)));
--- a/tests/flow/prop-flow-work.cc
+++ b/tests/flow/prop-flow-work.cc
@@ -1,8 +1,8 @@
-/* The count of requests at work, searched by RapidCheck over every way in which a request or a flow
- * can end: answered, reset by either side, closed, given up, sent again, returned, moved to another
- * agent, idle, a restarted agent.  The model knows which flows have an unanswered request; nothing
- * else may count, nothing may stay held, and what was held goes to the backend server or is dropped
- * exactly once.
+/* Property test of an agent's count of requests at work, over every way in which a request or a
+ * flow can end: answered, reset by either side, closed, given up, retransmitted, returned, moved to
+ * another agent, idle, agent restarted.  The model tracks the flows with an unanswered request:
+ * nothing else may count (a leak would block the gate), and each held packet is passed to the
+ * backend server or dropped exactly once.
  */
 #include "core/flow/lc-flow-return.h"
 
@@ -21,15 +21,15 @@
 
 enum Kind
 {
-  OPEN,          /* a first packet, and the backend server accepts it */
+  OPEN,          /* a first packet, accepted by the backend server */
   OPEN_AGAIN,    /* a copy of it */
   ASK,           /* a request */
   ASK_AGAIN,     /* a copy of the newest request */
   ANSWER,        /* the answer begins */
   CALLER_ENDS,   /* FIN or RST */
   BACKEND_ENDS,  /* FIN or RST */
-  RETURN,        /* the backend server does not hold it any more */
-  TAKEN_BY_PEER, /* another agent registers the flow as its own */
+  RETURN,        /* the backend server no longer has the flow */
+  TAKEN_BY_PEER, /* another agent registers itself as the owner */
   RESTART,
   PASS_SHORT,
   PASS_LONG,
@@ -61,10 +61,10 @@
   LcView view;
   LcFlowAgent agent;
   int64_t now_us = 1000 * LC_US_PER_S;
-  uint32_t sent[N_FLOWS] = {};      /* bytes of requests, a flow */
-  uint32_t answered[N_FLOWS] = {};  /* of them */
-  std::map<uint32_t, int64_t> open; /* flows with a request that has no answer, since when */
-  std::set<uint32_t> held;          /* table entries with packets that were held */
+  uint32_t sent[N_FLOWS] = {};      /* bytes of requests */
+  uint32_t answered[N_FLOWS] = {};  /* of these, answered */
+  std::map<uint32_t, int64_t> open; /* flows with an unanswered request -> when it was sent */
+  std::set<uint32_t> held;          /* table entries with held packets */
 
   World ()
   {
@@ -304,7 +304,7 @@
         RC_ASSERT (lc_flow_agent_at_work (&w.agent) <= w.open.size ());
         RC_ASSERT (lc_flow_gate_n_waiting (&w.agent.gate) == w.held.size ());
       }
-    /* What nobody answers is doubted; what waits is given its turn or given up. */
+    /* Unanswered requests stop counting; waiting ones pass or are dropped. */
     for (int i = 0; i < 100; i++)
       {
         w.now_us += 50 * LC_US_PER_MS;
--- a/tests/flow/prop-flow.cc
+++ b/tests/flow/prop-flow.cc
@@ -1,7 +1,7 @@
-/* Event orders of the flow plane, searched by RapidCheck over the world of fakes: packets sprayed
- * over balancers whose views differ, changes at any time, messages late, lost and repeated.
+/* Property tests of the flow plane in a simulation: packets are spread over balancers whose views
+ * differ, changes come at any time, messages are late, lost and duplicated.
  *
- * Each invariant is also shown to fail on a variant that breaks the rule behind it. */
+ * Each invariant is also shown to fail in a variant of the code that breaks the rule behind it. */
 #include "flow-order.hh"
 
 #include <rapidcheck.h>
@@ -9,7 +9,7 @@
 #include <cstdio>
 #include <vector>
 
-/* Found by RapidCheck through their arguments. */
+/* RapidCheck finds these by argument-dependent look-up. */
 static void
 showValue (const Step &s, std::ostream &os)
 {
@@ -18,7 +18,7 @@
 }
 
 static void
-showValue (const Weather &w, std::ostream &os)
+showValue (const Network &w, std::ostream &os)
 {
   os << "{seed " << w.seed << ", udp " << w.is_udp << ", reorder " << w.reorder_us << ", views "
      << w.view_delay_us << ", uneven " << w.uneven_us << ", loss " << w.loss_permille << "}";
@@ -44,19 +44,19 @@
       rc::gen::set (&Step::amount, rc::gen::inRange<uint32_t> (0, 200)));
 }
 
-rc::Gen<Weather>
-weather ()
+rc::Gen<Network>
+network ()
 {
-  return rc::gen::build<Weather> (
-      rc::gen::set (&Weather::seed, rc::gen::inRange<uint64_t> (1, 1000000)),
-      rc::gen::set (&Weather::is_udp, rc::gen::arbitrary<bool> ()),
-      rc::gen::set (&Weather::reorder_us,
+  return rc::gen::build<Network> (
+      rc::gen::set (&Network::seed, rc::gen::inRange<uint64_t> (1, 1000000)),
+      rc::gen::set (&Network::is_udp, rc::gen::arbitrary<bool> ()),
+      rc::gen::set (&Network::reorder_us,
                     rc::gen::elementOf (std::vector<int64_t>{ 1000, 20000, 200000 })),
-      rc::gen::set (&Weather::view_delay_us,
+      rc::gen::set (&Network::view_delay_us,
                     rc::gen::elementOf (std::vector<int64_t>{ 50000, 500000, 2000000 })),
-      rc::gen::set (&Weather::uneven_us,
+      rc::gen::set (&Network::uneven_us,
                     rc::gen::elementOf (std::vector<int64_t>{ 0, 1000000, 6000000 })),
-      rc::gen::set (&Weather::loss_permille,
+      rc::gen::set (&Network::loss_permille,
                     rc::gen::elementOf (std::vector<uint32_t>{ 0, 0, 20 })));
 }
 
@@ -64,8 +64,8 @@
 check (const Outcome &o)
 {
   RC_ASSERT (o.counts.established > 0U);
-  if (!holds (o))
-    RC_FAIL (o.complaint);
+  if (!keeps_invariants (o))
+    RC_FAIL (o.violation);
 }
 
 std::vector<LcFlowChangeKind>
@@ -77,7 +77,7 @@
   return kinds;
 }
 
-/* Registrations that are lost take longer than a settling by time allows for. */
+/* Loss, in thousandths, at which registrations take longer than settling by time alone allows. */
 const uint32_t LOSSY = 300;
 
 std::vector<Step>
@@ -91,8 +91,8 @@
   return steps;
 }
 
-/* Two endpoints leave and their addresses go to the other service, while a balancer hears nothing
- * of it. */
+/* Two endpoints leave and their addresses are reused by the other service, while a balancer gets no
+ * views. */
 std::vector<Step>
 reused_addresses (uint64_t seed)
 {
@@ -105,7 +105,7 @@
            { 100000, LC_CHANGE_REUSE, 0, 0 } };
 }
 
-/* Whether some order in a fixed set of them shows the broken rule. */
+/* Whether one of 40 fixed orders violates an invariant in the variant that `breaker` sets. */
 bool
 is_found (void (*breaker) (LcFlowWorldDesc *desc),
           std::vector<Step> (*steps) (uint64_t seed),
@@ -113,11 +113,11 @@
 {
   for (uint64_t seed = 1; seed <= 40; seed++)
     {
-      Weather w = { seed, seed % 2 == 0, 20000, 500000, 6000000, loss_permille };
-      LcFlowWorldDesc desc = describe (w);
+      Network w = { seed, seed % 2 == 0, 20000, 500000, 6000000, loss_permille };
+      LcFlowWorldDesc desc = world_desc (w);
 
       breaker (&desc);
-      if (!holds (run (desc, steps (seed))))
+      if (!keeps_invariants (run (desc, steps (seed))))
         return true;
     }
   return false;
@@ -138,34 +138,34 @@
   bool ok = true;
 
   ok &= rc::check ("planned changes in any order break no flow", [] {
-    const auto w = *weather ();
+    const auto w = *network ();
     const auto steps = *rc::gen::container<std::vector<Step> > (step (PLANNED));
 
-    check (run (describe (w), steps));
+    check (run (world_desc (w), steps));
   });
   ok &= rc::check ("an endpoint's death breaks only the flows that it owned", [] {
-    const auto w = *weather ();
+    const auto w = *network ();
     const auto steps = *rc::gen::container<std::vector<Step> > (step (with_deaths ()));
 
-    check (run (describe (w), steps));
+    check (run (world_desc (w), steps));
   });
   ok &= rc::check ("a balancer that returns after hundreds of revisions breaks no flow", [] {
-    const auto w = *weather ();
+    const auto w = *network ();
     const auto revisions = *rc::gen::inRange<uint32_t> (100, 500);
 
-    check (run (describe (w), long_absence (revisions, static_cast<uint32_t> (w.seed))));
+    check (run (world_desc (w), long_absence (revisions, static_cast<uint32_t> (w.seed))));
   });
-  ok &= report ("rules kept: the fixed orders pass",
+  ok &= report ("the fixed orders pass with all rules kept",
                 !is_found ([] (LcFlowWorldDesc *) {}, mixed_steps) &&
                     !is_found ([] (LcFlowWorldDesc *) {}, reused_addresses) &&
                     !is_found ([] (LcFlowWorldDesc *) {}, mixed_steps, LOSSY));
-  ok &= report ("the newest set assigning is found out",
+  ok &= report ("detects: the newest set assigns",
                 is_found ([] (LcFlowWorldDesc *d) { d->breaks_order = true; }, mixed_steps));
   ok &= report (
-      "settling by time alone is found out",
+      "detects: sets settle by time alone",
       is_found ([] (LcFlowWorldDesc *d) { d->breaks_settling = true; }, mixed_steps, LOSSY));
   ok &=
-      report ("delivery without looking at the instance is found out",
+      report ("detects: delivery without checking the instance",
               is_found ([] (LcFlowWorldDesc *d) { d->breaks_instance = true; }, reused_addresses));
   return ok ? 0 : 1;
 }
--- a/tests/flow/test-flow-evacuation.c
+++ b/tests/flow/test-flow-evacuation.c
@@ -1,4 +1,4 @@
-/* Flows while a data centre is evacuated: who gets new ones, and that open ones stay. */
+/* Flows while a data centre is evacuated: new ones go elsewhere, open ones stay. */
 #include "return-world.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -6,8 +6,8 @@
 
 enum
 {
-  EMPTIED = 1, /* data centre of the agents 0 and 1 */
-  STAYING = 2, /* of the agents 2 and 3 */
+  EMPTIED = 1, /* data centre of agents 0 and 1 */
+  STAYING = 2, /* data centre of agents 2 and 3 */
 };
 
 static void
@@ -29,16 +29,17 @@
 static const struct
 {
   const char *what;
-  int first; /* the agents that have seen the newest view */
+  int first; /* range of the agents that have the newest view */
   int last;
   bool balancer_sees;
 } SEEN_BY[] = {
-  { "everybody has seen it", 0, 4, true },
+  { "all have the newest view", 0, 4, true },
   { "the balancer has an old view", 0, 4, false },
-  { "only the agents there have seen it", 0, 1, false },
+  { "only the agents there have the newest view", 0, 1, false },
 };
 
-START_TEST (test_new_flows_avoid_what_is_evacuated)
+/* An agent or a balancer with an old view must not bring new flows into the evacuated one. */
+START_TEST (test_new_flows_avoid_evacuated_data_centre)
 {
   RwWorld w;
 
@@ -55,7 +56,8 @@
 }
 END_TEST
 
-/* Homes don't change: nothing is searched for, as it would be if the endpoints left the set. */
+/* An evacuation doesn't change the homes.  If the endpoints left the candidate set, owners would
+ * have to be searched for. */
 START_TEST (test_open_flows_stay_in_an_evacuation)
 {
   RwWorld w;
@@ -77,8 +79,8 @@
 }
 END_TEST
 
-/* Refused at once: a caller who hears nothing would come again twice and wait for 1.4 s. */
-START_TEST (test_nothing_left_is_said_at_once)
+/* Without a reset the caller would send two more copies and wait for 1.4 s. */
+START_TEST (test_new_flow_is_reset_at_once_if_all_are_evacuated)
 {
   RwWorld w;
   LcPacket first = rw_packet_of (0, true);
@@ -98,7 +100,7 @@
 }
 END_TEST
 
-START_TEST (test_choice_tells_why_nobody_is_left)
+START_TEST (test_failed_choice_has_the_reason)
 {
   static const struct
   {
@@ -110,8 +112,8 @@
   } CASES[] = {
     { "evacuated", LC_ENDPOINT_ACTIVE, true, false, LC_DROP_EVACUATED },
     { "leaving", LC_ENDPOINT_DRAINING, true, false, LC_DROP_NO_ENDPOINT },
-    { "refusing, elsewhere", LC_ENDPOINT_ACTIVE, false, true, LC_DROP_LIMIT },
-    { "taking", LC_ENDPOINT_ACTIVE, false, false, LC_DROP_NONE },
+    { "refusing", LC_ENDPOINT_ACTIVE, false, true, LC_DROP_LIMIT },
+    { "accepting", LC_ENDPOINT_ACTIVE, false, false, LC_DROP_NONE },
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (CASES); i++)
@@ -141,8 +143,8 @@
 }
 END_TEST
 
-/* The same where backend servers don't return packets, and flows are owned by agents. */
-START_TEST (test_owning_agent_refuses_while_evacuated)
+/* Likewise for services whose backend servers don't return packets. */
+START_TEST (test_agent_refuses_new_flow_while_evacuated)
 {
   LcViewOp service = { .revision = 1, .kind = LC_VIEW_SERVICE };
   LcViewOp endpoint = { .revision = 1, .kind = LC_VIEW_ENDPOINT };
@@ -191,12 +193,12 @@
   Suite *suite = suite_create ("flow-evacuation");
   TCase *tcase = tcase_create ("flows");
 
-  tcase_add_loop_test (tcase, test_new_flows_avoid_what_is_evacuated, 0,
+  tcase_add_loop_test (tcase, test_new_flows_avoid_evacuated_data_centre, 0,
                        (int)G_N_ELEMENTS (SEEN_BY));
   tcase_add_test (tcase, test_open_flows_stay_in_an_evacuation);
-  tcase_add_test (tcase, test_nothing_left_is_said_at_once);
-  tcase_add_test (tcase, test_choice_tells_why_nobody_is_left);
-  tcase_add_test (tcase, test_owning_agent_refuses_while_evacuated);
+  tcase_add_test (tcase, test_new_flow_is_reset_at_once_if_all_are_evacuated);
+  tcase_add_test (tcase, test_failed_choice_has_the_reason);
+  tcase_add_test (tcase, test_agent_refuses_new_flow_while_evacuated);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
--- a/tests/flow/test-flow-gate.c
+++ b/tests/flow/test-flow-gate.c
@@ -425,10 +425,9 @@
 
   simulate (&r, SIMULATIONS[_i].has_gate, SIMULATIONS[_i].order);
   percent = r.n_new_in_time * 100 / r.n_new;
-  ck_assert_msg (percent >= SIMULATIONS[_i].least_percent &&
-                     percent <= SIMULATIONS[_i].most_percent,
-                 "%s: %u %% of %u in time, %u refused", SIMULATIONS[_i].what, percent, r.n_new,
-                 r.n_refused);
+  ck_assert_msg (
+      percent >= SIMULATIONS[_i].least_percent && percent <= SIMULATIONS[_i].most_percent,
+      "%s: %u %% of %u in time, %u refused", SIMULATIONS[_i].what, percent, r.n_new, r.n_refused);
   ck_assert_msg (r.n_refused >= SIMULATIONS[_i].least_refused &&
                      r.n_refused <= SIMULATIONS[_i].most_refused,
                  "%s: %u refused", SIMULATIONS[_i].what, r.n_refused);
--- a/tests/flow/test-flow-orders.cc
+++ b/tests/flow/test-flow-orders.cc
@@ -1,19 +1,20 @@
-/* Orders of changes that once broke a promise of the flow plane, each played as it was found.
+/* Regression tests: sequences of changes that once violated an invariant of the flow plane, each
+ * run as prop-flow found it.
  *
- * THE STORIES
- *   A second owner.  Two copies of a first packet walk the homes, and each station keeps a mark
- * that names who assigns the flow.  One copy is given an assigner of an older set on its way, by a
- *   station that has just seen that set settle, and asks it.  The stations before still name the
- *   newer assigner, which does not know better: the other copy is assigned there.  Two backend
- *   servers have the flow.  Order of seed 2, flow 37: at 12.771 s endpoint 1 (assigner 8) sends one
- *   copy on to endpoint 4, which names itself; at 12.774 s the other copy follows endpoint 1's mark
- *   and ends its walk there, "assign to 8#9"; they are delivered at 12.808 and 12.776 s.
+ * THE FAILURES
+ *   A second owner.  Two copies of a first packet visit the homes, and each agent on the way keeps
+ *   a PENDING entry that names the flow's assigner.  An agent that has just seen an older set
+ *   settle gives one copy that set's assigner.  The entries at the agents before still name the
+ *   newer assigner, so the other copy is assigned there, and two backend servers have the flow.
+ *   Order of seed 2, flow 37: at 12.771 s endpoint 1 (assigner 8) forwards one copy to endpoint 4,
+ *   which makes itself the assigner; at 12.774 s the other copy follows endpoint 1's entry and ends
+ *   there, "assign to 8#9"; they are delivered at 12.808 and 12.776 s.
  *
- *   A broken queue of registrations: see test-flow-owner.c.  Seeds 1 and 13 come to it by planned
+ *   A corrupt queue of registrations: see test-flow-owner.c.  Seeds 1 and 13 reach it by planned
  *   changes alone.
  *
- * Usage: test-flow-orders WORD: the orders whose name begins with it ("seed": all that are mended).
- * TRACE_FLOW=37 prints where that flow's packets went. */
+ * Usage: test-flow-orders PREFIX runs the orders whose name begins with it ("seed": all that are
+ * fixed).  TRACE_FLOW=37 prints the path of that flow's packets. */
 #include "flow-order.hh"
 
 #include <cstdio>
@@ -24,8 +25,8 @@
 
 struct Order
 {
-  const char *found; /* the seed of prop-flow with max_success=400, and what was seen */
-  Weather weather;
+  const char *found; /* the seed of prop-flow with max_success=400, and the violation */
+  Network network;
   std::vector<Step> steps;
 };
 
@@ -280,7 +281,7 @@
   { "seed 22: 13.053 s: flow 57 of endpoint 12: a second owner",
     { 376425, false, 200000, 2000000, 6000000, 0 },
     long_absence (235, 376425) },
-  /* Not mended; played by flow-second-owner-fast-views alone. */
+  /* Not fixed; run by flow-second-owner-fast-views alone. */
   { "fast views, seed 1: 11.244 s: flow 37 of endpoint 1: a second owner",
     { 490844, false, 200000, 500000, 1000000, 0 },
     long_absence (319, 490844) },
@@ -298,11 +299,11 @@
     {
       if (argc > 1 && std::strncmp (order.found, argv[1], std::strlen (argv[1])) != 0)
         continue;
-      Outcome outcome = run (describe (order.weather), order.steps);
-      bool is_kept = outcome.counts.established > 0 && holds (outcome);
+      Outcome outcome = run (world_desc (order.network), order.steps);
+      bool is_kept = outcome.counts.established > 0 && keeps_invariants (outcome);
 
       std::printf ("%s: %s%s%s\n", is_kept ? "ok" : "FAILED", order.found, is_kept ? "" : ": now ",
-                   outcome.complaint.c_str ());
+                   outcome.violation.c_str ());
       passed += is_kept;
       failed += !is_kept;
     }
