--- a/src/core/flow/lc-assign.h
+++ b/src/core/flow/lc-assign.h
@@ -6,12 +6,11 @@
  *
  * THE CHOICE
  *   An endpoint is eligible when
- *     - it is a candidate in the view and its load report is not stale,
- *     - its data centre is not evacuated and is in one of the regions that the flow is kept to,
- *     - it has not refused a flow within the last second,
- *     - it is below its connection limit.
- *   Endpoints whose backend server looks bad are excluded, unless more than half look bad: the
- *   health signal is then more likely wrong than right, and all are used.
+ *     - it is a candidate in the view, and its load report is not stale,
+ *     - its data centre is not evacuated, and in one of the regions that the flow is kept to,
+ *     - it has not refused a flow for a second, and is below its connection limit.
+ *   Endpoints whose backend server looks bad are excluded, unless more than half look bad: then the
+ *   signal is not trusted and all are used.
  *   Load is open flows over capacity; capacity is weight times the slow-start ramp.  A byte rate
  *   well above the mean adds to the load, so that a few heavy flows count.  Endpoints of the
  *   balancer's data centre are preferred while the best of them is within the spillover margin of
@@ -64,8 +63,8 @@
     uint32_t sample;              /* endpoints compared in larger services; 0: 16 */
     uint32_t byte_permille;       /* weight of a byte rate above the mean; 0: none */
     uint32_t work_weight;         /* open flows that a request at work counts for; 0: not counted */
-    uint32_t near_permille; /* prefer the own data centre while an endpoint there has less than this
-                               share of its slots at work; 0: by spillover alone */
+    uint32_t near_permille; /* own data centre while less than this share of an endpoint's slots is
+                               at work; 0: by spillover alone */
     int64_t stale_us;       /* exclude an endpoint whose last report is older; 0: never */
   } LcAssignDesc;
 
@@ -108,7 +107,7 @@
     int64_t asked_us;      /* first query since its last message; 0: none unanswered */
     int64_t asked_last_us; /* last query */
     bool is_candidate;
-    bool is_evacuated; /* its data centre is evacuated */
+    bool is_evacuated; /* its data centre is */
     uint8_t region;    /* of its data centre: lc_view_region */
     bool is_accepting;
     bool looks_bad;
@@ -122,7 +121,7 @@
     LcAssignPeer *peers; /* owned; every endpoint of the service, ordered by id */
     uint32_t n_peers;
     LcEndpointId self_id;
-    uint64_t draws;          /* samples drawn so far, mixed into the next one's start */
+    uint64_t draws;
     uint64_t mean_flow_load; /* of the endpoints compared last; scales the byte load */
     uint64_t mean_byte_load;
     LcDropReason failure; /* why the last choice found no endpoint */
@@ -143,11 +142,11 @@
   /* Index into `peers` of an endpoint in one of these regions, or -1. */
   int lc_assign_choose (
       LcAssign *assign, uint64_t key_hash, LcDcId dc, LcRegionMask regions, int64_t now_us);
-  /* Counts a flow just assigned to this peer, until its next report includes it. */
+  /* Counts a flow just assigned to this peer. */
   void lc_assign_note (LcAssign *assign, int index);
 
-  /* Whether excluding this endpoint as bad leaves at least as many eligible good ones as bad ones:
-   * the rule of lc_assign_choose, for an endpoint that was chosen before its state was known. */
+  /* Whether, with this one as bad, at least as many good eligible endpoints remain as bad ones: the
+   * rule of lc_assign_choose, for an endpoint that was chosen before its state was known. */
   bool lc_assign_may_leave_out_self (LcAssign *assign, LcRegionMask regions, int64_t now_us);
   /* Capacity in thousandths of an endpoint of weight 100 %, slow start included. */
   uint32_t lc_assign_capacity (const LcAssign *assign, const LcAssignPeer *peer, int64_t now_us);
--- a/src/core/flow/lc-candidates.c
+++ b/src/core/flow/lc-candidates.c
@@ -328,8 +328,7 @@
     }
   else
     {
-      /* The assigner comes last, so that a packet that visits the list ends where it is assigned.
-       */
+      /* The assigner comes last: a packet that visits the list ends there. */
       if (n == 2)
         (void)lc_candidates__add (list, &homes[1]->candidate, limit);
       list->assigner = lc_candidates__add (list, &homes[0]->candidate, limit);
--- a/src/core/flow/lc-candidates.h
+++ b/src/core/flow/lc-candidates.h
@@ -1,13 +1,11 @@
 /* lc-candidates: weighted rendezvous hashing of flows over the endpoints of a service.
  *
  * WHAT IT IS
- *   A service's candidate sets, compiled from a view for fast choice: the current set, then the
- *   former sets that have not settled (some balancer may still use them).  The homes of a flow are
- *   the two highest-scoring endpoints of a set; they keep the flow's directory entry, which names
- *   its owner.  Every balancer and agent with the same view computes the same homes.  A packet's
- *   candidate list has the homes of the newest set first and those of the oldest set last, without
- *   repeats, and names the one endpoint that may assign a new flow, the assigner: the first home of
- *   the oldest set.
+ *   A service's candidate sets, compiled from a view: the current set, then the former sets that
+ *   have not settled (some balancer may still use them).  A flow's homes are the two best endpoints
+ *   of a set, alike on all VMs with the same view; they hold the pointer to its owner.  A packet's
+ *   list has the homes of the newest set first and those of the oldest set last, without repeats,
+ *   and names the one endpoint that may assign a new flow: the first home of the oldest set.
  *
  * WHY THE OLDEST SET ASSIGNS
  *   While views differ, every balancer still has the oldest unsettled set, so all of them name the
@@ -17,7 +15,7 @@
  *     LcCandidateSets sets = { 0 };
  *     lc_candidate_sets_compile (&sets, lc_view_service (&view, id));
  *     LcCandidateList list;
- *     lc_candidate_sets_place (&sets, &view);              only for choices kept to regions
+ *     lc_candidate_sets_place (&sets, &view);
  *     lc_candidates_pick (&sets, lc_flow_key_hash (&key), LC_REGIONS_ALL, &list);
  *     lc_candidate_sets_finish (&sets);
  *
@@ -25,9 +23,8 @@
  *   The sets own copies; the service may change afterwards.
  *
  * LIMITS
- *   A choice costs O(endpoints of all sets).  A list has at most LC_CANDIDATES_MAX entries: with
- *   more unsettled sets than fit, those between the newest and the oldest are left out, oldest of
- *   them first.
+ *   A choice is O(endpoints of all sets).  At most LC_CANDIDATES_MAX entries: with more unsettled
+ *   sets than fit, those between the newest and the oldest are left out, oldest of them first.
  */
 #ifndef LC_CANDIDATES_H
 #define LC_CANDIDATES_H
@@ -92,16 +89,14 @@
     LcRevision set_rank; /* until_revision of the assigner's set: lower is older */
   } LcCandidateList;
 
-  /* Replaces the sets by those of this service; NULL: none.  Former members that are gone from the
-   * service are left out. */
+  /* Replaces the sets.  Former members that are gone from the service are left out. */
   void lc_candidate_sets_compile (LcCandidateSets *sets, const LcService *service);
-  /* Copies the regions of the members' data centres from the view: required before a choice that
-   * is kept to regions. */
+  /* Sets the members' regions: required before a choice that is kept to regions. */
   void lc_candidate_sets_place (LcCandidateSets *sets, const LcView *view);
   void lc_candidate_sets_copy (LcCandidateSets *to, const LcCandidateSets *from);
   void lc_candidate_sets_finish (LcCandidateSets *sets);
 
-  /* Builds a flow's candidate list from the homes, in these regions, of each set. */
+  /* Lists the homes, in these regions, of each set. */
   void lc_candidates_pick (const LcCandidateSets *sets,
                            uint64_t key_hash,
                            LcRegionMask regions,
@@ -114,9 +109,9 @@
                                 LcRegionMask regions,
                                 const LcSetMember *homes[LC_HOMES]);
 
-  /* Homes in the newest set for a flow whose packets come in at `dc`: endpoints there before those
-   * elsewhere, suspect ones last.  Used where the owner is found without a settled list
-   * (lc-flow-return): packets, pointers and flows then stay inside the data centre. */
+  /* Homes in the newest set for a flow whose packets come in at `dc`: endpoints there first, then
+   * others, suspect ones last.  Where the owner is found without a settled list (lc-flow-return),
+   * packets, pointers and flows stay inside the data centre. */
   uint32_t lc_candidates_near_homes (const LcCandidateSets *sets,
                                      uint64_t key_hash,
                                      LcDcId dc,
--- a/src/core/flow/lc-envelope.h
+++ b/src/core/flow/lc-envelope.h
@@ -1,18 +1,17 @@
 /* lc-envelope: encapsulation header of a caller's packet between balancers and agents.
  *
  * WHAT IT IS
- *   The header is sent in one UDP datagram, with the caller's packet behind it.  It holds the
- *   flow's candidate list and how far the packet has come on it.  Big-endian:
+ *   Big-endian, in one UDP datagram with the packet behind it:
  *      0 u16 magic 0x4c46 ("LF")      2 u8 version (1)       3 u8 kind (LcEnvelopeKind)
  *      4 u8 mode (LcEnvelopeMode)     5 u8 hop               6 u8 hops left
  *      7 u8 number of candidates      8 u8 assigner's index  9 u8 refusal (LcDropReason)
  *     10 u16 data centre of the balancer                    12 u32 service
  *     16 u64 view revision of the list                      24 u64 rank of the assigner's set
  *     32 u32 target endpoint         36 u64 target instance
- *     44 u32 endpoint and 48 u64 instance of an owner named by a stale pointer; 0: none
+ *     44 u32 stray endpoint          48 u64 stray instance
  *     56 candidates: u32 id, u64 instance, u32 ipv4, u16 port
- *   Other datagrams of the flow plane start with the first four bytes only; those of kind
- *   LC_ENVELOPE_MESSAGE go on with a protobuf message.
+ *   Other datagrams of the flow plane have the first four bytes only, followed in those of kind
+ *   LC_ENVELOPE_MESSAGE by a protobuf message.
  *
  * HOW TO USE IT
  *     size_t n = lc_envelope_encode (&envelope, buffer, sizeof buffer);
@@ -56,25 +55,25 @@
   /* Why the packet was sent to this agent. */
   typedef enum
   {
-    LC_MODE_WALK = 1,    /* the target is candidates[hop]: look the flow up, else pass it on */
-    LC_MODE_ASSIGN = 2,  /* no candidate has an entry for the flow: assign it */
-    LC_MODE_OWNER = 3,   /* a pointer names the target as the owner */
-    LC_MODE_OPEN = 4,    /* the assigner chose the target for the flow */
-    LC_MODE_REFUSED = 5, /* the chosen endpoint refused the flow; back at the assigner */
-    LC_MODE_SEARCH = 6,  /* no home has the owner: try the target's backend (lc-flow-finder.h) */
-    LC_MODE_FIND = 7,    /* no home has the owner: the target is to search for it */
+    LC_MODE_WALK = 1,    /* it is candidates[hop] */
+    LC_MODE_ASSIGN = 2,  /* no candidate has the flow: assign it */
+    LC_MODE_OWNER = 3,   /* a pointer names it as the owner */
+    LC_MODE_OPEN = 4,    /* the assigner chose it for the flow */
+    LC_MODE_REFUSED = 5, /* the chosen endpoint refused; back at the assigner */
+    LC_MODE_SEARCH = 6,  /* no home has the owner: try it here (lc-flow-finder.h) */
+    LC_MODE_FIND = 7,    /* no home has the owner: search for it */
   } LcEnvelopeMode;
 
   /* Why a packet was dropped or refused. */
   typedef enum
   {
     LC_DROP_NONE = 0,
-    LC_DROP_NO_OWNER = 1,       /* an established flow without a known owner */
-    LC_DROP_NO_ENDPOINT = 2,    /* no endpoint takes new flows */
-    LC_DROP_LIMIT = 3,          /* every endpoint is at its connection limit, or refusing */
-    LC_DROP_WRONG_INSTANCE = 4, /* sent to a process that has been replaced */
-    LC_DROP_HOPS = 5,           /* no hops left */
-    LC_DROP_LEAVING = 6,        /* refusal: the target is leaving */
+    LC_DROP_NO_OWNER = 1,    /* an established flow without a known owner */
+    LC_DROP_NO_ENDPOINT = 2, /* no endpoint takes new flows */
+    LC_DROP_LIMIT = 3,       /* every endpoint is at its connection limit, or refusing */
+    LC_DROP_WRONG_INSTANCE = 4,
+    LC_DROP_HOPS = 5,
+    LC_DROP_LEAVING = 6, /* refusal: the target is leaving */
     LC_DROP_MALFORMED = 7,
     LC_DROP_NO_SERVICE = 8, /* no service at this address */
     LC_DROP_NO_MEMORY = 9,  /* the flow table is full */
@@ -97,12 +96,12 @@
     LcRevision set_rank;
     LcEndpointId target_id;
     LcInstance target_instance;
-    LcEndpointId stray_id; /* named as the owner by a stale pointer; 0: none */
+    LcEndpointId stray_id; /* owner named by a stale pointer; FIND: the home that asks; 0: none */
     LcInstance stray_instance;
     LcCandidate candidates[LC_CANDIDATES_MAX + 2]; /* + 2: assigners that agents add */
   } LcEnvelope;
 
-  /* Returns the bytes written, 0 when `size` is too small. */
+  /* Returns the bytes written, 0 if `size` is too small. */
   size_t lc_envelope_encode (const LcEnvelope *envelope, uint8_t *out, size_t size);
   /* Returns the packet's offset, or LC_ERR_TRUNCATED, LC_ERR_CORRUPT, LC_ERR_VERSION. */
   int lc_envelope_decode (LcEnvelope *envelope, const uint8_t *bytes, size_t len);
--- a/src/core/flow/lc-flow-balancer.h
+++ b/src/core/flow/lc-flow-balancer.h
@@ -55,22 +55,20 @@
 
   void lc_flow_balancer_init (LcFlowBalancer *balancer, LcDcId dc);
   void lc_flow_balancer_finish (LcFlowBalancer *balancer);
-  /* Set if backend servers return packets of flows that they don't hold.  Lists then have the homes
-   * of the newest set alone, since agents find the owner without a settled list. */
+  /* Backend servers return packets of flows they lack: lists then have the homes of the newest set
+   * alone, since agents find the owner without a settled list. */
   void lc_flow_balancer_set_returning (LcFlowBalancer *balancer, bool is_returning);
   /* Drops all compiled sets. */
   void lc_flow_balancer_set_view (LcFlowBalancer *balancer, const LcView *view);
   /* Drops the compiled sets of one service that changed in the view. */
   void lc_flow_balancer_forget (LcFlowBalancer *balancer, LcServiceId service_id);
 
-  /* Copies from the failure detector which agents are suspect; lc_candidates_near_homes passes
-   * them over. */
+  /* Copies which agents are suspect: they are homes only where there are no others. */
   void
   lc_flow_balancer_mark_suspects (LcFlowBalancer *balancer, const LcReach *reach, int64_t now_us);
 
-  /* Set if the view has had no contact with its source for so long that homes may have gone
-   * unnoticed.  Packets then go first to one endpoint of the service after the other, round-robin:
-   * one that is alive replaces a stale list. */
+  /* The view has had no update for so long that homes may be gone unnoticed: packets then go first
+   * to the endpoints of the service round-robin, and one that is alive replaces a stale list. */
   void lc_flow_balancer_set_cut_off (LcFlowBalancer *balancer, bool is_cut_off);
 
   /* Returns 0, or a negative LcDropReason: no service at the address, or no endpoint. */
@@ -79,8 +77,7 @@
                               LcEnvelope *envelope,
                               LcCandidate *to);
 
-  /* Fills in the candidate list of one flow; false: no candidate.  Agents use it too, to replace a
-   * stale list. */
+  /* Fills in a flow's candidate list; false: none.  Agents use it to replace a stale list. */
   bool lc_envelope_fill (LcEnvelope *envelope,
                          const LcCandidateSets *sets,
                          uint64_t key_hash,
--- a/src/core/flow/lc-flow-gate.c
+++ b/src/core/flow/lc-flow-gate.c
@@ -112,7 +112,7 @@
     }
 }
 
-/* Whether the waiting request at this index may pass; counts a probe if it does as one. */
+/* For the waiting request at this index. */
 static bool
 lc_flow_gate__has_room (LcFlowGate *gate, guint index, int64_t now_us)
 {
--- a/src/core/flow/lc-flow-message.h
+++ b/src/core/flow/lc-flow-message.h
@@ -60,7 +60,7 @@
     LcFlowLoad load; /* of the sender; its agent and revision are set in every kind */
     LcCandidate to;
     LcRevision membership; /* of the sender's newest candidate set */
-    LcRevision roster;     /* of its newest endpoint; 0: sent by an older version, not set */
+    LcRevision roster;     /* of its newest endpoint; 0: from an older version */
     uint32_t round;        /* of an ASK, repeated in its ANSWER */
     uint32_t n;
     LcFlowEntry entries[LC_FLOW_BATCH_MAX];
--- a/src/core/flow/lc-flow-table.h
+++ b/src/core/flow/lc-flow-table.h
@@ -1,12 +1,11 @@
 /* lc-flow-table: hash table of an agent's flows, with expiry by a timer wheel in O(1) an event.
  *
  * WHAT IT IS
- *   Entries in one array, with an open-addressing index and a hashed timer wheel.  An entry is one
- *   of
+ *   Entries in one array, with an open-addressing index and a timer wheel.  An entry is one of
  *     OWNED     its backend server has the flow; this agent is authoritative for it
- *     POINTER   this agent is or was a home: the entry names the owner, another agent
- *     PENDING   a first packet passed on its way to an assigner, which the entry names
- *   An owned entry may be in the queue of registrations to send (see lc-flow-pointers).
+ *     POINTER   this agent is or was a home; names the owner, another agent
+ *     PENDING   a first packet passed on its way to an assigner, which it names
+ *   An owned entry may be in the queue of registrations (see lc-flow-pointers).
  *
  * HOW TO USE IT
  *     lc_flow_table_init (&table, 4096, now_us);
@@ -60,7 +59,7 @@
     LC_FLOW_ENDED = 16,    /* OWNED: the last packet passed */
     LC_FLOW_AT_WORK = 32,  /* OWNED: has a request whose answer has not begun */
     LC_FLOW_ANSWERED = 64, /* OWNED: the backend server has sent something */
-    LC_FLOW_WAITING = 128, /* OWNED: AT_WORK, and its packets are held by the gate (lc-flow-gate) */
+    LC_FLOW_WAITING = 128, /* OWNED: AT_WORK, and its packets are held (lc-flow-gate) */
   };
 
   typedef struct
@@ -68,8 +67,8 @@
     LcFlowKey key;
     LcInstance instance;      /* POINTER: owner's; PENDING: assigner's; ADOPTED: first owner's */
     uint64_t revision;        /* POINTER: of the owner's view; PENDING: the assigner's set_rank */
-    LcEndpointId endpoint_id; /* of the agent that `instance` is of */
-    uint32_t ipv4;            /* of that agent; ADOPTED: of the backend server */
+    LcEndpointId endpoint_id; /* of the same agent */
+    uint32_t ipv4;            /* its address; ADOPTED: the backend server's */
     uint16_t port;
     uint8_t kind;  /* LcFlowKind */
     uint8_t flags; /* LC_FLOW_CONFIRMED ... */
--- a/src/core/flow/lc-steer.h
+++ b/src/core/flow/lc-steer.h
@@ -4,21 +4,17 @@
  *   A pure function from this agent's state, the envelope, the packet and the flow table's entry to
  *   a tagged union.  It changes nothing; lc-flow-agent carries the decision out.
  *
- * HOW TO USE IT
- *     LcSteer s = lc_steer (&self, &envelope, &packet, &known);
- *     switch (s.kind) ...
- *
  * THE RULES, IN ORDER
  *   1. A packet for another service or instance is not looked up: it goes on along the list, or is
  *      dropped.
  *   2. The owner delivers.
- *   3. A pointer to a live owner forwards the packet there.  While the owner has not confirmed the
- *      pointer, a packet that may open a flow is sent as LC_MODE_OPEN, so that the flow opens even
- *      if its first packet is lost or reordered.
- *   4. Without an entry, a packet that can't open a flow visits the rest of the list and is dropped
- *      at its end.  One that may open a flow visits it too, leaving a PENDING entry at each agent,
- *      and only the assigner assigns it.  On a settled list the assigner is the first home, which
- *      has an entry of every flow, and assigns at once.
+ *   3. A pointer to a live owner forwards the packet there.  While the owner has not confirmed it,
+ *      a packet that may open a flow goes as LC_MODE_OPEN, so that loss or reordering of the first
+ *      one does no harm.
+ *   4. Without an entry, a packet that can't open a flow visits the list and is dropped at its end.
+ *      One that may open a flow visits it too, leaving PENDING entries, and only the assigner
+ *      assigns it; on a settled list the assigner, being the first home, has an entry of every flow
+ *      and assigns at once.
  *   5. Two lists may name two assigners: one balancer has seen a set settle, another has not.
  *      A packet with the older set's list passes the assigner of the newer set and leaves a PENDING
  *      entry there; the newer assigner then defers to the older.
--- a/tests/flow/flow-order.hh
+++ b/tests/flow/flow-order.hh
@@ -1,6 +1,4 @@
-/* flow-order: runs a sequence of changes in the simulated flow plane and checks its invariants.
- *
- * Network has the simulated network's delays and loss; steps are changes with gaps between them. */
+/* flow-order: runs a sequence of changes in a simulated flow plane and checks its invariants. */
 #ifndef FLOW_ORDER_HH
 #define FLOW_ORDER_HH
 
--- a/tests/flow/prop-cold-limit.cc
+++ b/tests/flow/prop-cold-limit.cc
@@ -1,6 +1,6 @@
-/* Property test of the warm-up rate limit: cold backend servers return while callers offer more
- * than they can take.  Counted at each server, no second has more first packets than the rate with
- * overshoot and slack, whichever agents restart and however old the others' views are. */
+/* Cold backend servers return while callers offer more than they can take.  No server gets more
+ * first packets in any second than its rate with overshoot and slack, whichever agents restart and
+ * however old the others' views are. */
 #include "prop-steps.hh"
 #include "return-world.h"
 
--- a/tests/flow/test-cold-limit.c
+++ b/tests/flow/test-cold-limit.c
@@ -1,4 +1,4 @@
-/* The rate limit of a backend server that is warming up, alone and in the admission queue. */
+/* Warm-up rate limit, alone and in the admission queue. */
 #include "core/flow/lc-cold-limit.h"
 #include "core/flow/lc-flow-gate.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -100,7 +100,7 @@
 }
 END_TEST
 
-/* A warm server restarts and is cold: grants from before the restart count against its rate. */
+/* After a restart of the server, grants from before it count against the rate. */
 START_TEST (test_grants_before_a_cold_start_count)
 {
   LcColdLimitDesc desc = { 0 };
--- a/tests/flow/test-flow-core.c
+++ b/tests/flow/test-flow-core.c
@@ -1,5 +1,4 @@
-/* Unit tests of the flow plane's parts: packet parser, envelope, destination NAT, messages,
- * candidate choice, flow table, endpoint selection, forwarding decision and packet buffer. */
+/* Parser, envelope, destination NAT, candidate choice, flow table, endpoint selection, steering. */
 #include "core/flow/lc-assign.h"
 #include "core/flow/lc-candidates.h"
 #include "core/flow/lc-envelope.h"
@@ -107,7 +106,7 @@
       make_packet (bytes, CASES[i].protocol, CASES[i].flags);
       if (CASES[i].at >= 0)
         bytes[CASES[i].at] = CASES[i].value;
-      /* Exactly sized, so that the address sanitizer finds a read beyond the end. */
+      /* Exact size: ASan finds a read beyond. */
       exact = g_memdup2 (bytes, len - CASES[i].cut);
       r = lc_packet_parse (&packet, exact, len - CASES[i].cut);
       g_free (exact);
@@ -121,7 +120,7 @@
 }
 END_TEST
 
-/* A receiver drops a rewritten packet whose checksum was not updated with its destination. */
+/* A receiver drops packets with a wrong checksum. */
 START_TEST (test_retarget_keeps_checksums_valid)
 {
   static const uint8_t PROTOCOLS[] = { LC_PROTOCOL_UDP, LC_PROTOCOL_TCP };
@@ -165,7 +164,7 @@
   return e;
 }
 
-/* Neither a short buffer nor a truncated datagram is read or written beyond its end. */
+/* Also with a truncated datagram or a short buffer. */
 START_TEST (test_envelope_round_trip)
 {
   uint8_t bytes[LC_ENVELOPE_MAX_BYTES];
@@ -322,7 +321,7 @@
 }
 END_TEST
 
-/* A flow opened through two views at once gets two owners if the views name different assigners. */
+/* Else a flow that opens through two views at once gets two owners. */
 START_TEST (test_unsettled_views_name_the_same_assigner)
 {
   LcView view;
@@ -359,8 +358,7 @@
 
 /* === table ================================================================================== */
 
-/* Random adds, removals and deadlines against an array of deadlines: no entry is lost, found after
- * its removal, or expired more than a second late. */
+/* No entry is lost, found after its removal, or expired more than a second late. */
 START_TEST (test_table_matches_a_model)
 {
   LcFlowTable table;
@@ -611,7 +609,7 @@
   { LC_PROTOCOL_UDP, true, false },
 };
 
-/* Any packet of a UDP flow may open it, so none is certainly the first. */
+/* Any packet of a UDP flow may open it. */
 START_TEST (test_udp_packet_is_never_first)
 {
   LcPacket packet = { .may_open = FIRST[_i].may_open, .key.protocol = FIRST[_i].protocol };
@@ -642,7 +640,7 @@
   { 10, 40, 1210, 0, 0 },
 };
 
-/* A full buffer drops the oldest packets; expired and oversized ones are dropped and counted. */
+/* The oldest, expired and oversized packets are dropped and counted. */
 START_TEST (test_packet_buffer)
 {
   uint8_t bytes[LC_PACKET_HOLD_BYTES + 1] = { 0 };
--- a/tests/flow/test-flow-evacuation.c
+++ b/tests/flow/test-flow-evacuation.c
@@ -38,7 +38,7 @@
   { "only the agents there have the newest view", 0, 1, false },
 };
 
-/* An agent or a balancer with an old view must not bring new flows into the evacuated one. */
+/* Also through a balancer or agents with an old view. */
 START_TEST (test_new_flows_avoid_evacuated_data_centre)
 {
   RwWorld w;
--- a/tests/flow/test-flow-gate.c
+++ b/tests/flow/test-flow-gate.c
@@ -1,5 +1,4 @@
-/* The admission queue of a backend server: which requests pass, wait, go next and are dropped, and
- * a simulated backlog after an outage. */
+/* Admission queue: which requests pass, wait or are dropped; a backlog after an outage. */
 #include "core/flow/lc-flow-gate.h"
 #include "core/flow/lc-flow-returners.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -19,8 +18,8 @@
   END_OF_STEPS,
   ASK,     /* request of `flow`, begun at `began_ms`; `expected` is the verdict */
   END,     /* the request of `flow` ends */
-  NEXT,    /* `expected` is the flow whose request passes, 0: none */
-  GIVE_UP, /* `expected` is the flow whose request is dropped, 0: none */
+  NEXT,    /* `expected` is the flow that passes, 0: none */
+  GIVE_UP, /* `expected` is the flow that is dropped, 0: none */
 } StepKind;
 
 typedef struct
@@ -44,7 +43,7 @@
 #define PASSES LC_FLOW_GATE_PASS
 #define WAITS LC_FLOW_GATE_WAIT
 
-/* One request ahead of the slots. */
+/* One ahead of the slots. */
 static const Case CASES[] = {
   { "one for the slot and one ahead",
     LC_FLOW_GATE_NEWEST_FIRST,
@@ -218,7 +217,7 @@
   return 0;
 }
 
-/* A wrong order or count here makes all requests late after an outage, or holds some for ever. */
+/* A wrong count holds requests for ever; a wrong order makes all late. */
 START_TEST (test_admission_order)
 {
   const Case *c = &CASES[_i];
@@ -255,7 +254,7 @@
 }
 END_TEST
 
-/* A caller counts as returning once for each flow that it lost, and only for 250 ms after. */
+/* A caller counts as returning once for each flow it lost, and only for 250 ms. */
 START_TEST (test_returning_callers)
 {
   static LcFlowReturners r;
@@ -282,9 +281,9 @@
 
 /* === backlog after an outage ================================================================ */
 
-/* A cold backend server has just started.  The callers of an outage of 1.2 s reach it all at once,
- * and new ones follow at two thirds of its capacity.  It works on `SERVER_SLOTS` requests, queues
- * `SERVER_QUEUE` first in, first out, and refuses the rest. */
+/* A backend server has just started, cold.  The callers of an outage of 1.2 s come at once, and new
+ * ones at two thirds of its capacity.  It works on `SERVER_SLOTS` requests, queues `SERVER_QUEUE`
+ * first in, first out, and refuses the rest. */
 enum
 {
   SERVER_SLOTS = 3,
@@ -417,7 +416,7 @@
   { "newest first while there is a backlog", true, LC_FLOW_GATE_ADAPTIVE, 90, 100, 0, 0 },
 };
 
-/* First in, first out, new requests wait behind the backlog until they are late, too. */
+/* First in, first out, new requests would be late behind the backlog. */
 START_TEST (test_new_requests_are_in_time_after_an_outage)
 {
   static Simulation r;
