--- a/src/core/flow/lc-flow-balancer.c
+++ b/src/core/flow/lc-flow-balancer.c
@@ -195,7 +195,7 @@
   if (n == 0)
     return;
   memmove (&e->candidates[1], &e->candidates[0], e->n * sizeof e->candidates[0]);
-  e->candidates[0] = sets->members[sets->sets[0].first + b->turn++ % n].candidate;
+  e->candidates[0] = sets->members[sets->sets[0].first + b->n_detours++ % n].candidate;
   e->n++;
   e->assigner++;
   e->target_id = e->candidates[0].id;
--- a/src/core/flow/lc-flow-balancer.h
+++ b/src/core/flow/lc-flow-balancer.h
@@ -48,9 +48,9 @@
     LcFlowBalancerEntry *entries; /* owned; direct-mapped by address */
     LcDcId dc;
     bool is_cut_off;
-    bool has_suspects; /* some member of a set is marked as suspect */
-    bool is_returning; /* backend servers return packets of flows they lack: lc-flow-return.h */
-    uint32_t turn;     /* round-robin counter of detours */
+    bool has_suspects;  /* some member of a set is marked as suspect */
+    bool is_returning;  /* backend servers return packets of flows they lack: lc-flow-return.h */
+    uint32_t n_detours; /* for round-robin */
   } LcFlowBalancer;
 
   void lc_flow_balancer_init (LcFlowBalancer *balancer, LcDcId dc);
--- a/src/core/flow/lc-flow-gate.c
+++ b/src/core/flow/lc-flow-gate.c
@@ -53,12 +53,12 @@
 {
   guint n = 0;
 
-  while (n < gate->working->len &&
-         now_us - lc_flow_gate__at (gate->working, n)->at_us >= gate->desc.doubt_us)
+  while (n < gate->in_flight->len &&
+         now_us - lc_flow_gate__at (gate->in_flight, n)->at_us >= gate->desc.answer_timeout_us)
     n++;
   if (n == 0)
     return;
-  g_array_remove_range (gate->working, 0, n);
+  g_array_remove_range (gate->in_flight, 0, n);
   gate->doubted_total += n;
 }
 
@@ -121,9 +121,9 @@
 
   if (!lc_cold_limit_has_room (&gate->cold, now_us))
     return false;
-  if (gate->slots == 0 || gate->working->len < limit)
+  if (gate->slots == 0 || gate->in_flight->len < limit)
     return true;
-  if (now_us - gate->moved_us < gate->desc.probe_us)
+  if (now_us - gate->last_passed_us < gate->desc.probe_us)
     return false;
   gate->probes_total++;
   return true;
@@ -132,9 +132,9 @@
 static void
 lc_flow_gate__pass (LcFlowGate *gate, uint32_t flow, int64_t now_us)
 {
-  lc_flow_gate__put (gate->working, flow, now_us);
+  lc_flow_gate__put (gate->in_flight, flow, now_us);
   lc_cold_limit_note (&gate->cold, now_us);
-  gate->moved_us = now_us;
+  gate->last_passed_us = now_us;
 }
 
 /* === public ================================================================================= */
@@ -148,17 +148,17 @@
   *d = *desc;
   d->ahead = d->ahead != 0 ? d->ahead : LC_FLOW_GATE_AHEAD;
   d->max_waiting = d->max_waiting != 0 ? d->max_waiting : LC_FLOW_GATE_MAX_WAITING;
-  d->doubt_us = lc_flow_gate__or_us (d->doubt_us, LC_FLOW_GATE_DOUBT_US);
+  d->answer_timeout_us = lc_flow_gate__or_us (d->answer_timeout_us, LC_FLOW_GATE_DOUBT_US);
   d->probe_us = lc_flow_gate__or_us (d->probe_us, LC_FLOW_GATE_PROBE_US);
   d->give_up_us = lc_flow_gate__or_us (d->give_up_us, LC_FLOW_GATE_GIVE_UP_US);
-  gate->working = g_array_new (FALSE, FALSE, sizeof (LcFlowGateRequest));
+  gate->in_flight = g_array_new (FALSE, FALSE, sizeof (LcFlowGateRequest));
   gate->waiting = g_array_new (FALSE, FALSE, sizeof (LcFlowGateRequest));
 }
 
 void
 lc_flow_gate_finish (LcFlowGate *gate)
 {
-  g_array_unref (gate->working);
+  g_array_unref (gate->in_flight);
   g_array_unref (gate->waiting);
   memset (gate, 0, sizeof *gate);
 }
@@ -174,7 +174,7 @@
 LcFlowGateVerdict
 lc_flow_gate_request (LcFlowGate *gate, uint32_t flow, int64_t began_us, int64_t now_us)
 {
-  if (lc_flow_gate__find (gate->working, flow) < gate->working->len)
+  if (lc_flow_gate__find (gate->in_flight, flow) < gate->in_flight->len)
     return LC_FLOW_GATE_PASS;
   if (lc_flow_gate__find (gate->waiting, flow) < gate->waiting->len)
     return LC_FLOW_GATE_WAIT;
@@ -200,13 +200,13 @@
 void
 lc_flow_gate_end (LcFlowGate *gate, uint32_t flow)
 {
-  guint working = lc_flow_gate__find (gate->working, flow);
+  guint in_flight = lc_flow_gate__find (gate->in_flight, flow);
   guint waiting = lc_flow_gate__find (gate->waiting, flow);
 
   if (waiting < gate->waiting->len)
     g_array_remove_index (gate->waiting, waiting);
-  if (working < gate->working->len)
-    g_array_remove_index (gate->working, working);
+  if (in_flight < gate->in_flight->len)
+    g_array_remove_index (gate->in_flight, in_flight);
 }
 
 bool
@@ -243,7 +243,7 @@
 uint32_t
 lc_flow_gate_n_working (const LcFlowGate *gate)
 {
-  return gate->working->len;
+  return gate->in_flight->len;
 }
 
 uint32_t
@@ -255,7 +255,7 @@
 uint32_t
 lc_flow_gate_load (const LcFlowGate *gate, int64_t now_us)
 {
-  uint32_t n = gate->working->len;
+  uint32_t n = gate->in_flight->len;
 
   for (guint i = 0; i < gate->waiting->len; i++)
     n += !lc_flow_gate__is_late (gate, lc_flow_gate__at (gate->waiting, i), now_us);
--- a/src/core/flow/lc-flow-gate.h
+++ b/src/core/flow/lc-flow-gate.h
@@ -19,8 +19,8 @@
  *     once, without waiting for the agent.  A late request, whose caller has waited for most of the
  *     latency objective, passes for free slots only: in the place ahead it would delay the next
  *     new one.
- *   - A request without an answer for `doubt_us` no longer counts, as its caller may have given up
- *     silently.  So the count can't leak, and held requests resume without outside help.
+ *   - A request without an answer for `answer_timeout_us` no longer counts: its caller may have
+ *     given up silently.  So the count can't leak, and held requests resume by themselves.
  *   - When no request has passed for `probe_us`, one passes whatever the count is.
  *   - At most `max_waiting` wait; further ones pass, and the server's own refusal answers them for
  *     certain.
@@ -66,11 +66,11 @@
   typedef struct
   {
     LcFlowGateOrder order;
-    uint32_t ahead;       /* requests passed beyond the slots; 0: 1 */
-    uint32_t max_waiting; /* 0: 256 */
-    int64_t doubt_us;     /* 0: 1 s, longer than slow backend servers take for a request */
-    int64_t probe_us;     /* 0: 200 ms, ten typical requests */
-    int64_t give_up_us;   /* 0: 2 s, the shortest timeout of callers */
+    uint32_t ahead;            /* requests passed beyond the slots; 0: 1 */
+    uint32_t max_waiting;      /* 0: 256 */
+    int64_t answer_timeout_us; /* 0: 1 s, longer than slow backend servers take for a request */
+    int64_t probe_us;          /* 0: 200 ms, ten typical requests */
+    int64_t give_up_us;        /* 0: 2 s, the shortest timeout of callers */
   } LcFlowGateDesc;
 
   typedef enum
@@ -82,17 +82,17 @@
   typedef struct
   {
     uint32_t flow;
-    int64_t at_us; /* working: when it passed; waiting: when its caller began it */
+    int64_t at_us; /* in flight: when it passed; waiting: when its caller began it */
   } LcFlowGateRequest;
 
   typedef struct
   {
     LcFlowGateDesc desc;
-    uint32_t slots;   /* of the backend server; 0: not known, all pass */
-    int64_t late_us;  /* a request older than this is late */
-    GArray *working;  /* LcFlowGateRequest, the oldest first */
-    GArray *waiting;  /* LcFlowGateRequest */
-    int64_t moved_us; /* when a request last passed */
+    uint32_t slots;         /* of the backend server; 0: not known, all pass */
+    int64_t late_us;        /* a request older than this is late */
+    GArray *in_flight;      /* LcFlowGateRequest, the oldest first */
+    GArray *waiting;        /* LcFlowGateRequest */
+    int64_t last_passed_us; /* when a request last passed */
     LcColdLimit cold;
     uint64_t waited_total;
     uint64_t given_up_total;
