--- a/src/agent/lc-agent-flow-report.c
+++ b/src/agent/lc-agent-flow-report.c
@@ -35,7 +35,7 @@
                      "Requests passed because none had passed for long", NULL, &gate->probes_total);
   lc_flow_meter_add (meter, metrics, "lychee_flow_doubted_total",
                      "Requests given that showed no answer and count no more", NULL,
-                     &gate->doubted_total);
+                     &gate->unanswered_total);
   lc_flow_meter_add (meter, metrics, "lychee_flow_ejected_total",
                      "Times that the backend server was left out for its failures", NULL,
                      &plane->agent.counts.ejected_total);
--- a/src/core/flow/lc-assign.c
+++ b/src/core/flow/lc-assign.c
@@ -372,7 +372,7 @@
   p->is_accepting = load->is_accepting;
   p->looks_bad = load->looks_bad;
   p->is_warm = load->is_warm;
-  p->knowledge = load->knowledge;
+  p->coverage = load->coverage;
   p->reported_us = now_us;
 }
 
--- a/src/core/flow/lc-assign.h
+++ b/src/core/flow/lc-assign.h
@@ -87,7 +87,7 @@
     bool is_accepting;  /* false: leaving, or at its limit */
     bool looks_bad;     /* its backend server fails its health check or its requests */
     bool is_warm;       /* its agent restarted beside a running backend server: no slow start */
-    LcFlowKnowledge knowledge;
+    LcFlowKnowledge coverage;
   } LcFlowLoad;
 
   typedef struct
@@ -112,7 +112,7 @@
     bool is_accepting;
     bool looks_bad;
     bool is_warm;
-    LcFlowKnowledge knowledge;
+    LcFlowKnowledge coverage;
   } LcAssignPeer;
 
   typedef struct
--- a/src/core/flow/lc-flow-agent.c
+++ b/src/core/flow/lc-flow-agent.c
@@ -353,7 +353,7 @@
       lc_flow_agent__may_take (a, now_us) && out->load.open_flows < a->desc.connection_limit;
   out->load.looks_bad = lc_flow_agent__looks_bad (a, now_us);
   out->load.is_warm = a->is_warm;
-  out->load.knowledge = lc_flow_finder_knowledge (a, now_us);
+  out->load.coverage = lc_flow_finder_knowledge (a, now_us);
   out->membership = a->sets.membership_revision;
   out->roster = a->roster;
   return true;
--- a/src/core/flow/lc-flow-finder.c
+++ b/src/core/flow/lc-flow-finder.c
@@ -186,7 +186,7 @@
   const LcAssignPeer *peer = lc_assign_peer (&a->assign, id);
 
   return peer != NULL && id != a->desc.self.id &&
-         (lc_flow_finder__is_direct (a) || peer->knowledge == LC_FLOW_KNOWS_SOME);
+         (lc_flow_finder__is_direct (a) || peer->coverage == LC_FLOW_KNOWS_SOME);
 }
 
 /* === private: the asked ===================================================================== */
@@ -436,7 +436,7 @@
           lc_candidate_equal (&owner, &m->load.agent))
         lc_flow_finder__found (a, &e->key, &owner);
     }
-  if (m->load.knowledge == LC_FLOW_KNOWS_ALL)
+  if (m->load.coverage == LC_FLOW_KNOWS_ALL)
     lc_flow_search_answer (a->searches, m->round, &sender, lc_flow_finder__newest (a, m), now_us);
   else
     lc_flow_search_cannot_say (a->searches, m->round, &sender);
--- a/src/core/flow/lc-flow-gate.c
+++ b/src/core/flow/lc-flow-gate.c
@@ -59,7 +59,7 @@
   if (n == 0)
     return;
   g_array_remove_range (gate->in_flight, 0, n);
-  gate->doubted_total += n;
+  gate->unanswered_total += n;
 }
 
 static bool
--- a/src/core/flow/lc-flow-gate.h
+++ b/src/core/flow/lc-flow-gate.h
@@ -96,7 +96,7 @@
     LcColdLimit cold;
     uint64_t waited_total;
     uint64_t given_up_total;
-    uint64_t doubted_total; /* not counted any more, for want of an answer */
+    uint64_t unanswered_total; /* not counted any more, for want of an answer */
     uint64_t probes_total;
     uint64_t overflows_total; /* passed because max_waiting were waiting */
   } LcFlowGate;
--- a/src/io/lc-flow-wire.c
+++ b/src/io/lc-flow-wire.c
@@ -69,7 +69,7 @@
   w.is_accepting = m->load.is_accepting;
   w.looks_bad = m->load.looks_bad;
   w.is_warm = m->load.is_warm;
-  w.knowledge = m->load.knowledge;
+  w.knowledge = m->load.coverage;
   w.membership = m->membership;
   w.roster = m->roster;
   w.round = m->round;
@@ -103,7 +103,7 @@
   m->load.is_accepting = w->is_accepting;
   m->load.looks_bad = w->looks_bad;
   m->load.is_warm = w->is_warm;
-  m->load.knowledge = (LcFlowKnowledge)w->knowledge;
+  m->load.coverage = (LcFlowKnowledge)w->knowledge;
   m->membership = w->membership;
   m->roster = w->roster;
   m->round = w->round;
