--- a/src/core/flow/lc-candidates.h
+++ b/src/core/flow/lc-candidates.h
@@ -59,7 +59,7 @@
     uint16_t weight_percent;
     LcDcId dc;
     uint8_t region;  /* lc_view_region; LC_REGION_NONE until lc_candidate_sets_place */
-    bool is_suspect; /* does not answer probes (lc-reach.h): a home only if others are too few */
+    bool is_suspect; /* by lc-reach.h: a home only if others are too few */
   } LcSetMember;
 
   typedef struct
--- a/src/core/flow/lc-cold-limit.h
+++ b/src/core/flow/lc-cold-limit.h
@@ -13,8 +13,8 @@
  *   others are at capacity: all excess load is offered to the cold ones at once.
  *
  * LIMITS, AND WHY
- *   - The window is LC_COLD_LIMIT_WINDOW_US, a little over a second: a granted request reaches the
- *     server later, by up to a scheduling delay.
+ *   - The window is LC_COLD_LIMIT_WINDOW_US, a little over a second: a granted request reaches
+ *     the server later, by up to a scheduling delay.
  *   - A restarted agent has no record of the second before.  For one window it grants only half of
  *     what is allowed beyond the rate (overshoot and slack), so that two starts within a second
  *     stay below the bound.
--- a/src/core/flow/lc-flow-balancer.c
+++ b/src/core/flow/lc-flow-balancer.c
@@ -158,9 +158,9 @@
 }
 
 void
-lc_flow_balancer_mark_suspects (LcFlowBalancer *b, const LcReach *reach, int64_t now_us)
+lc_flow_balancer_mark_suspects (LcFlowBalancer *b, const LcReach *detector, int64_t now_us)
 {
-  bool has_suspects = lc_reach_has_suspects (reach, now_us);
+  bool has_suspects = lc_reach_has_suspects (detector, now_us);
   GHashTableIter iter;
   gpointer value;
 
@@ -174,8 +174,8 @@
       LcCandidateSets *sets = value;
 
       for (uint32_t i = 0; i < sets->n_members; i++)
-        sets->members[i].is_suspect = lc_reach_is_suspect (reach, sets->members[i].candidate.ipv4,
-                                                           sets->members[i].candidate.port, now_us);
+        sets->members[i].is_suspect = lc_reach_is_suspect (
+            detector, sets->members[i].candidate.ipv4, sets->members[i].candidate.port, now_us);
     }
 }
 
--- a/src/core/flow/lc-flow-balancer.h
+++ b/src/core/flow/lc-flow-balancer.h
@@ -64,8 +64,9 @@
   void lc_flow_balancer_forget (LcFlowBalancer *balancer, LcServiceId service_id);
 
   /* Copies which agents are suspect: they are homes only where there are no others. */
-  void
-  lc_flow_balancer_mark_suspects (LcFlowBalancer *balancer, const LcReach *reach, int64_t now_us);
+  void lc_flow_balancer_mark_suspects (LcFlowBalancer *balancer,
+                                       const LcReach *detector,
+                                       int64_t now_us);
 
   /* The view has had no update for so long that homes may be gone unnoticed: packets then go first
    * to the endpoints of the service round-robin, and one that is alive replaces a stale list. */
--- a/src/core/flow/lc-flow-list.h
+++ b/src/core/flow/lc-flow-list.h
@@ -1,4 +1,4 @@
-/* lc-flow-list: corrections of an envelope's candidate list by the receiving agent's newer view.
+/* lc-flow-list: corrections of an envelope's candidate list by the agent's newer view.
  *
  * WHAT IT IS
  *   A balancer's list may be stale, may rank its set by an older view, or may lack a set that has
--- a/src/core/flow/lc-packet-hold.c
+++ b/src/core/flow/lc-packet-hold.c
@@ -4,53 +4,53 @@
 #include <string.h>
 
 void
-lc_packet_hold_put (LcPacketHold *hold, const uint8_t *bytes, size_t len, int64_t now_us)
+lc_packet_hold_put (LcPacketHold *buffer, const uint8_t *bytes, size_t len, int64_t now_us)
 {
   LcHeldPacket *packet;
 
   if (len > LC_PACKET_HOLD_BYTES)
     {
-      hold->dropped_total++;
+      buffer->dropped_total++;
       return;
     }
-  if (hold->packets == NULL)
-    hold->packets = g_new (LcHeldPacket, LC_PACKET_HOLD_MAX);
-  if (hold->n == LC_PACKET_HOLD_MAX)
+  if (buffer->packets == NULL)
+    buffer->packets = g_new (LcHeldPacket, LC_PACKET_HOLD_MAX);
+  if (buffer->n == LC_PACKET_HOLD_MAX)
     {
-      hold->first = (hold->first + 1) % LC_PACKET_HOLD_MAX;
-      hold->n--;
-      hold->dropped_total++;
+      buffer->first = (buffer->first + 1) % LC_PACKET_HOLD_MAX;
+      buffer->n--;
+      buffer->dropped_total++;
     }
-  packet = &hold->packets[(hold->first + hold->n) % LC_PACKET_HOLD_MAX];
+  packet = &buffer->packets[(buffer->first + buffer->n) % LC_PACKET_HOLD_MAX];
   packet->at_us = now_us;
   packet->len = (uint16_t)len;
   memcpy (packet->bytes, bytes, len);
-  hold->n++;
-  hold->held_total++;
+  buffer->n++;
+  buffer->held_total++;
 }
 
 LcHeldPacket *
-lc_packet_hold_next (LcPacketHold *hold, int64_t now_us)
+lc_packet_hold_next (LcPacketHold *buffer, int64_t now_us)
 {
-  while (hold->n > 0)
+  while (buffer->n > 0)
     {
-      LcHeldPacket *packet = &hold->packets[hold->first];
+      LcHeldPacket *packet = &buffer->packets[buffer->first];
 
-      hold->first = (hold->first + 1) % LC_PACKET_HOLD_MAX;
-      hold->n--;
+      buffer->first = (buffer->first + 1) % LC_PACKET_HOLD_MAX;
+      buffer->n--;
       if (now_us - packet->at_us <= LC_PACKET_HOLD_US)
         return packet;
-      hold->dropped_total++;
+      buffer->dropped_total++;
     }
-  lc_packet_hold_finish (hold);
+  lc_packet_hold_finish (buffer);
   return NULL;
 }
 
 void
-lc_packet_hold_finish (LcPacketHold *hold)
+lc_packet_hold_finish (LcPacketHold *buffer)
 {
-  g_free (hold->packets);
-  hold->packets = NULL;
-  hold->first = 0;
-  hold->n = 0;
+  g_free (buffer->packets);
+  buffer->packets = NULL;
+  buffer->first = 0;
+  buffer->n = 0;
 }
--- a/src/core/flow/lc-packet-hold.h
+++ b/src/core/flow/lc-packet-hold.h
@@ -7,11 +7,11 @@
  *   view arrives, a fraction of a second later, and are steered then.
  *
  * HOW TO USE IT
- *     LcPacketHold hold = { 0 };
- *     lc_packet_hold_put (&hold, bytes, len, now_us);
- *     while ((packet = lc_packet_hold_next (&hold, now_us)) != NULL)
+ *     LcPacketHold buffer = { 0 };
+ *     lc_packet_hold_put (&buffer, bytes, len, now_us);
+ *     while ((packet = lc_packet_hold_next (&buffer, now_us)) != NULL)
  *       steer packet->bytes
- *     lc_packet_hold_finish (&hold);
+ *     lc_packet_hold_finish (&buffer);
  *
  * LIFETIME
  *   A zeroed struct is empty.  Memory is allocated at the first packet and freed when
@@ -56,10 +56,10 @@
     uint64_t dropped_total; /* for a full buffer, or too old or too long */
   } LcPacketHold;
 
-  void lc_packet_hold_put (LcPacketHold *hold, const uint8_t *bytes, size_t len, int64_t now_us);
+  void lc_packet_hold_put (LcPacketHold *buffer, const uint8_t *bytes, size_t len, int64_t now_us);
   /* Removes and returns the oldest packet that has not expired; NULL: none is left. */
-  LcHeldPacket *lc_packet_hold_next (LcPacketHold *hold, int64_t now_us);
-  void lc_packet_hold_finish (LcPacketHold *hold);
+  LcHeldPacket *lc_packet_hold_next (LcPacketHold *buffer, int64_t now_us);
+  void lc_packet_hold_finish (LcPacketHold *buffer);
 
 #ifdef __cplusplus
 }
--- a/src/core/flow/lc-reach.h
+++ b/src/core/flow/lc-reach.h
@@ -1,21 +1,21 @@
-/* lc-reach: probe-based failure detector of a balancer for the agents that it sends packets to.
+/* lc-reach: a balancer's failure detector for the agents that it sends packets to.
  *
  * WHAT IT IS
  *   A lease takes seconds to expire; until then the packets of every flow whose first home has died
  *   would be lost.  A balancer therefore probes the agents that it sends packets to.  One that
- *   leaves a probe unanswered for LC_REACH_SUSPECT_US is suspect, and homes are chosen among the
- *   others until it answers again.  A false suspicion does no harm where owners are found without a
- *   settled list (lc-flow-return.h).
+ *   leaves a probe unanswered for LC_REACH_SUSPECT_US is suspect, and homes are chosen
+ *   among the others until it answers again.  A false suspicion does no harm where owners are
+ *   found without a settled list (lc-flow-return.h).
  *
  * HOW TO USE IT
- *     lc_reach_init (&reach);
- *     lc_reach_used (&reach, &to, now_us);               a packet is sent to this agent
- *     n = lc_reach_due (&reach, now_us, out, max);       at each tick: probe these now
- *     lc_reach_answered (&reach, ipv4, port, now_us);    a probe's answer arrived
- *     if (lc_reach_is_suspect (&reach, ipv4, port, now_us)) ...
- *     while (lc_reach_next_change (&reach, now_us, &change))
+ *     lc_reach_init (&detector);
+ *     lc_reach_used (&detector, &to, now_us);            a packet is sent there
+ *     n = lc_reach_due (&detector, now_us, out, max);    at each tick: probe these
+ *     lc_reach_answered (&detector, ipv4, port, now_us);
+ *     if (lc_reach_is_suspect (&detector, ipv4, port, now_us)) ...
+ *     while (lc_reach_next_change (&detector, now_us, &change))
  *       log change
- *     lc_reach_finish (&reach);
+ *     lc_reach_finish (&detector);
  *
  * LIFETIME
  *   Owns its table.  An agent that gets no packet for LC_REACH_FORGET_US is removed.
@@ -58,20 +58,20 @@
     int64_t silent_us; /* time since the first unanswered probe; 0: it answers */
   } LcReachChange;
 
-  void lc_reach_init (LcReach *reach);
-  void lc_reach_finish (LcReach *reach);
-  void lc_reach_used (LcReach *reach, const LcCandidate *to, int64_t now_us);
+  void lc_reach_init (LcReach *detector);
+  void lc_reach_finish (LcReach *detector);
+  void lc_reach_used (LcReach *detector, const LcCandidate *to, int64_t now_us);
   /* Fills `out` with the agents to probe now, and marks them as probed; returns how many. */
-  uint32_t lc_reach_due (LcReach *reach, int64_t now_us, LcReachAddress *out, uint32_t max);
-  void lc_reach_answered (LcReach *reach, uint32_t ipv4, uint16_t port, int64_t now_us);
+  uint32_t lc_reach_due (LcReach *detector, int64_t now_us, LcReachAddress *out, uint32_t max);
+  void lc_reach_answered (LcReach *detector, uint32_t ipv4, uint16_t port, int64_t now_us);
   /* Whether every agent in use is suspect: more likely this balancer is partitioned from them than
    * all of them are dead.  If so, they stay in use, so that probing goes on without packets. */
-  bool lc_reach_is_alone (LcReach *reach, int64_t now_us);
-  bool lc_reach_has_suspects (const LcReach *reach, int64_t now_us);
+  bool lc_reach_is_alone (LcReach *detector, int64_t now_us);
+  bool lc_reach_has_suspects (const LcReach *detector, int64_t now_us);
   /* Returns an agent that became suspect, or answers again, since it was last returned here;
    * false: none. */
-  bool lc_reach_next_change (LcReach *reach, int64_t now_us, LcReachChange *change);
-  bool lc_reach_is_suspect (const LcReach *reach, uint32_t ipv4, uint16_t port, int64_t now_us);
+  bool lc_reach_next_change (LcReach *detector, int64_t now_us, LcReachChange *change);
+  bool lc_reach_is_suspect (const LcReach *detector, uint32_t ipv4, uint16_t port, int64_t now_us);
 
 #ifdef __cplusplus
 }
