--- a/src/core/flow/lc-assign.h
+++ b/src/core/flow/lc-assign.h
@@ -22,9 +22,9 @@
  *     lc_assign_init (&assign, &desc);
  *     lc_assign_set_members (&assign, service, self_id, now_us);     after each view change
  *     lc_assign_set_places (&assign, view);                          likewise
- *     lc_assign_report (&assign, &load, now_us);                     a peer's load report
+ *     lc_assign_report (&assign, &load, now_us);                a peer's load report
  *     int i = lc_assign_choose (&assign, hash, dc, regions, now_us); -1: none, see assign.failure
- *     lc_assign_note (&assign, i);                                   until its next report
+ *     lc_assign_note (&assign, i);                             until its next report
  *     lc_assign_finish (&assign);
  *
  * LIFETIME
--- a/src/core/flow/lc-cold-limit.h
+++ b/src/core/flow/lc-cold-limit.h
@@ -25,7 +25,7 @@
  *     lc_cold_limit_set_rate (&limit, rate_mrps);      0: no limit
  *     lc_cold_limit_set_cold (&limit, is_cold);
  *     if (lc_cold_limit_has_room (&limit, now_us))
- *       lc_cold_limit_note (&limit, now_us);           and give the request to the server
+ *       lc_cold_limit_note (&limit, now_us);         and give the request to the server
  *   Record grants while the server is warm, too: it may restart a moment later.
  *
  * LIFETIME
--- a/src/core/flow/lc-reach.h
+++ b/src/core/flow/lc-reach.h
@@ -10,7 +10,7 @@
  * HOW TO USE IT
  *     lc_reach_init (&detector);
  *     lc_reach_used (&detector, &to, now_us);            a packet is sent there
- *     n = lc_reach_due (&detector, now_us, out, max);    at each tick: probe these
+ *     n = lc_reach_due (&detector, now_us, out, max);  at each tick: probe these
  *     lc_reach_answered (&detector, ipv4, port, now_us);
  *     if (lc_reach_is_suspect (&detector, ipv4, port, now_us)) ...
  *     while (lc_reach_next_change (&detector, now_us, &change))
