--- a/src/core/flow/lc-flow-agent-packet.c
+++ b/src/core/flow/lc-flow-agent-packet.c
@@ -7,9 +7,9 @@
 #define LC_FLOW_ENDED_US (30 * LC_US_PER_S)
 #define LC_FLOW_UNCONFIRMED_US (10 * LC_US_PER_S)
 
-/* === private: what the agent knows ========================================================== */
+/* === private: state for steering =========================================================== */
 
-/* By the newest view here: an assigner whose view is older may still choose this endpoint. */
+/* Checked here too: an assigner with an older view may still choose this endpoint. */
 bool
 lc_flow_agent__is_evacuated (const LcFlowAgent *a)
 {
@@ -68,9 +68,9 @@
 lc_flow_agent__is_accepting (const LcFlowAgent *a)
 {
   if (lc_flow_agent__is_evacuated (a) || a->is_leaving || a->backend == LC_FLOW_BACKEND_NONE ||
-      (a->backend == LC_FLOW_BACKEND_ASKED && a->has_refused))
+      (a->backend == LC_FLOW_BACKEND_ASKED && a->has_returned_first))
     return false;
-  /* Where backend servers return what is not theirs, an agent that counts as lost does no harm. */
+  /* If backend servers return packets, an agent that control counts as lost does no harm. */
   return a->desc.is_returning || !a->is_cut_off;
 }
 
@@ -80,10 +80,10 @@
   return lc_flow_agent__is_accepting (a) && lc_cold_limit_has_room (&a->firsts, now_us);
 }
 
-/* === private: whether its backend server works ============================================== */
+/* === private: health of the backend server ================================================= */
 
-/* A backend server that fails at once looks idle, and would be given all new flows.  It is left out
- * after three failures in a row, first for so long as it takes to see a few requests elsewhere. */
+/* A backend server that fails every request at once looks idle and would get all new flows.  It is
+ * ejected after three consecutive failures, first for as long as a few requests take elsewhere. */
 static const LcOutlierDesc LC_FLOW_OUTLIER = {
   .failures = 3,
   .first_us = 300 * LC_US_PER_MS,
@@ -109,7 +109,7 @@
   return a->looks_bad || lc_outlier_is_ejected (&a->outlier, now_us);
 }
 
-/* Tells the assigner's knowledge of this agent itself, which needs no message. */
+/* Updates this agent's own entry in the assigner's peer list. */
 static void
 lc_flow_agent__refresh_self (LcFlowAgent *a, int64_t now_us)
 {
@@ -210,9 +210,9 @@
   return action;
 }
 
-/* The entry is of this kind from now on, and nothing of what it was before holds.  One that was
- * owned leaves the queue of registrations and the counts first: left in the queue with its mark
- * gone, it breaks the queue's links, and the next flush reads outside the table. */
+/* Changes the entry's kind and clears its flags.  An owned entry is first removed from the queue of
+ * registrations and the counts: left in the queue without LC_FLOW_QUEUED it would break the queue's
+ * links, and the next flush would read outside the table. */
 static void
 lc_flow_agent__become (LcFlowAgent *a, LcFlow *f, LcFlowKind kind)
 {
@@ -241,7 +241,7 @@
   f->offered_id = 0;
   f->relay_port = 0;
   f->dc = a->arrival_dc;
-  /* The first look comes no later than the flow may have ended. */
+  /* The first check comes no later than the idle timeout. */
   lc_flow_table_set_deadline (
       &a->table, f, now_us + MIN (a->desc.refresh_us, lc_flow_agent__idle_us (a, &packet->key)));
   lc_flow_pointers_start (a, f);
@@ -249,7 +249,7 @@
   return lc_flow_agent__deliver (a, f, packet, true, now_us);
 }
 
-/* What the assigner remembers until the owner registers the flow itself. */
+/* Stores an unconfirmed pointer at the assigner until the owner registers the flow. */
 static bool
 lc_flow_agent__expect (
     LcFlowAgent *a, LcFlow *f, const LcPacket *packet, const LcCandidate *owner, int64_t now_us)
@@ -293,18 +293,18 @@
     return lc_flow_agent__drop (a, LC_DROP_NO_MEMORY);
   if (!lc_flow_list_set_assigner (e, &a->desc.self))
     return lc_flow_agent__drop (a, LC_DROP_HOPS);
-  a->busy_us = now_us;
+  a->last_busy_us = now_us;
   return lc_flow_agent__send (a, e, LC_MODE_OPEN, &peer->agent);
 }
 
-/* === private: carrying out the other answers ================================================ */
+/* === private: carrying out a steering decision ============================================= */
 
 static LcFlowAction lc_flow_agent__carry_out (
     LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us, bool may_renew);
 
-/* Leaves a mark that an assigner is being asked; an older set's mark stays while its assigner
- * lives, and so does what is known of the flow's owner: a packet for another process at this
- * address may end its walk here. */
+/* Stores a PENDING entry for the assigner that is queried.  An older set's entry stays while its
+ * assigner is alive, and so do an owned flow and a confirmed pointer: the walk of a packet for an
+ * earlier process at this address may end here. */
 static void
 lc_flow_agent__mark (
     LcFlowAgent *a, LcFlow *f, const LcEnvelope *e, const LcPacket *packet, int64_t now_us)
@@ -329,8 +329,8 @@
   lc_flow_table_set_deadline (&a->table, f, now_us + LC_FLOW_PENDING_US);
 }
 
-/* The assigner is this agent itself.  The packet may have come for another process that had this
- * address, so that the table has not been asked yet: it is decided on as if it had come back. */
+/* The assigner is this agent itself.  The packet may have been addressed to an earlier process at
+ * this address, so that the table was not consulted: steers it again in ASSIGN mode. */
 static LcFlowAction
 lc_flow_agent__ask_self (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
 {
@@ -403,8 +403,8 @@
   return lc_flow_agent__send (a, e, LC_MODE_REFUSED, &assigner);
 }
 
-/* A walk that finds an older set's mark goes on for that set's assigner: other walks that found the
- * mark ask it, too. */
+/* Switches a walk that meets an older set's PENDING entry to that set's assigner, which other walks
+ * that met the entry query, too. */
 static void
 lc_flow_agent__follow_mark (const LcSteerKnown *known, LcEnvelope *e)
 {
@@ -414,7 +414,7 @@
     e->set_rank = known->rank;
 }
 
-/* A flow of an owner that is gone is broken; its first home counts it, once. */
+/* Counts a flow whose owner is gone as broken, once, at its first home. */
 static void
 lc_flow_agent__note_broken (LcFlowAgent *a, LcFlow *f, const LcSteerKnown *k, const LcEnvelope *e)
 {
@@ -425,10 +425,9 @@
   a->counts.broken_total++;
 }
 
-/* Whether the walk has just been given an older assigner after it passed the one that it named
- * until now (`passed`: its place).  That one, and the marks on the way, still say that it assigns
- * the flow: another copy of the first packet would be assigned there, and the flow get a second
- * owner. */
+/* Whether the walk switched to an older assigner after it had passed its previous one (`passed`:
+ * its index).  The PENDING entries on the way still name the previous one: it would assign another
+ * copy of the first packet, and the flow would get a second owner. */
 static bool
 lc_flow_agent__must_walk_back (const LcFlowAgent *a,
                                const LcEnvelope *e,
@@ -444,9 +443,9 @@
   return !lc_candidate_equal (to, &a->desc.self) && !lc_flow_agent__is_gone (a, e, to);
 }
 
-/* Back to the assigner that the walk named before, to leave the older one's mark there or to find
- * what it has assigned meanwhile; from there the walk goes on behind this station.  Walks that find
- * the newer assigner's marks in between ask it, and are sent on by the older one's. */
+/* Returns the walk to its previous assigner, to store the older one's PENDING entry there or to
+ * find what it has assigned meanwhile; from there the walk goes on behind this hop.  Walks that
+ * meet the newer assigner's entries in between query it and are redirected by the older entry. */
 static LcFlowAction
 lc_flow_agent__walk_back (LcFlowAgent *a,
                           LcEnvelope *e,
@@ -466,7 +465,7 @@
   LcFlow *f = lc_flow_table_find (&a->table, &packet->key, lc_flow_key_hash (&packet->key));
   LcSteerSelf self = lc_flow_agent__self (a, &packet->key);
   LcSteerKnown known = lc_flow_agent__known (a, f);
-  uint8_t assigner = e->assigner; /* entries of a list keep their places: it only grows */
+  uint8_t assigner = e->assigner; /* indexes stay valid: a list only grows */
   LcSteer s;
 
   lc_flow_agent__note_broken (a, f, &known, e);
@@ -489,15 +488,14 @@
     case LC_STEER_NEXT:
       return lc_flow_agent__walk_on (a, e, f, packet, &s, now_us, may_renew);
     case LC_STEER_DEFER:
-      /* A packet for an earlier process at this address is looked up at the end of its walk: the
-       * assigner would give the flow to a second owner. */
+      /* A packet for an earlier process at this address is looked up at the end of its walk;
+       * otherwise the assigner would give the flow to a second owner. */
       if (known.kind == LC_FLOW_OWNED && self.service_id == e->service_id)
         return lc_flow_agent__deliver (a, f, packet, false, now_us);
-      /* The end of a walk is a station of it too: the mark must stand here as well. */
+      /* The last hop of a walk needs the PENDING entry as well. */
       if (e->mode == LC_MODE_WALK && self.service_id == e->service_id)
         lc_flow_agent__mark (a, f, e, packet, now_us);
-      /* Deferring to an older set's assigner lowers the rank, so that two can't defer to each
-       * other. */
+      /* The rank is lowered to the older set's, or two assigners could defer to each other. */
       if (known.kind == LC_FLOW_PENDING && lc_candidate_equal (&s.to, &known.other))
         e->set_rank = MIN (e->set_rank, known.rank);
       return lc_flow_agent__defer (a, e, packet, &s.to, now_us, may_renew);
@@ -506,7 +504,7 @@
     case LC_STEER_OPEN:
       if (!lc_flow_list_set_assigner (e, &a->desc.self))
         return lc_flow_agent__drop (a, LC_DROP_HOPS);
-      a->busy_us = now_us;
+      a->last_busy_us = now_us;
       return lc_flow_agent__send (a, e, LC_MODE_OPEN, &s.to);
     case LC_STEER_REFUSE:
       return lc_flow_agent__refuse (a, e, s.reason);
--- a/src/core/flow/lc-flow-agent-private.h
+++ b/src/core/flow/lc-flow-agent-private.h
@@ -1,7 +1,8 @@
-/* lc-flow-agent-private: steps that both steering rules share; not for others.
+/* lc-flow-agent-private: functions shared by the two steering rules of lc-flow-agent.
  *
- * lc-flow-agent.c holds the state, its messages and its time; lc-flow-agent-packet.c steers by
- * lists and marks; lc-flow-return.c steers where backend servers return what they do not hold.
+ * lc-flow-agent.c has the lifecycle, messages and timers; lc-flow-agent-packet.c steers by
+ * candidate lists and PENDING entries; lc-flow-return.c steers services whose backend servers
+ * return packets.
  */
 #ifndef LC_FLOW_AGENT_PRIVATE_H
 #define LC_FLOW_AGENT_PRIVATE_H
@@ -13,22 +14,22 @@
 {
 #endif
 
-  /* The flow's request is answered, given up or moved: it counts no more, and packets held for it
+  /* Removes the flow's request from the gate (answered, abandoned or moved); packets held for it
    * are dropped. */
   void lc_flow_agent__end_request (LcFlowAgent *agent, LcFlow *flow);
-  /* The backend server has reset a request, or left it without a sign; or has answered one. */
+  /* A request failed (reset or left without a response), or succeeded. */
   void lc_flow_agent__note_failure (LcFlowAgent *agent, int64_t now_us);
   void lc_flow_agent__note_success (LcFlowAgent *agent);
   bool lc_flow_agent__looks_bad (const LcFlowAgent *agent, int64_t now_us);
   LcSteerKnown lc_flow_agent__known (const LcFlowAgent *agent, const LcFlow *flow);
   bool lc_flow_agent__is_evacuated (const LcFlowAgent *agent);
-  /* The regions that new flows to this key's target are kept to, by the newest view here. */
+  /* Home regions of the key's target address in the newest view here. */
   LcRegionMask lc_flow_agent__home_regions (const LcFlowAgent *agent, const LcFlowKey *key);
-  /* Whether this agent's backend server is in one of them. */
+  /* Whether this agent is in a home region of the key's target address. */
   bool lc_flow_agent__is_home (const LcFlowAgent *agent, const LcFlowKey *key);
   bool lc_flow_agent__is_accepting (const LcFlowAgent *agent);
-  /* Whether one more new flow may be given to the backend server now: it accepts, and if it is
-   * cold its rate is not spent. */
+  /* Whether the backend server may be given one more new flow now: it accepts flows, and if it is
+   * cold its rate is not used up. */
   bool lc_flow_agent__may_take (const LcFlowAgent *agent, int64_t now_us);
   LcFlowAction lc_flow_agent__drop (LcFlowAgent *agent, LcDropReason reason);
   LcFlowAction lc_flow_agent__send (LcFlowAgent *agent,
@@ -37,23 +38,23 @@
                                     const LcCandidate *to);
   LcFlowAction lc_flow_agent__deliver (
       LcFlowAgent *agent, LcFlow *flow, const LcPacket *packet, bool is_new, int64_t now_us);
-  /* `flow` may be NULL: an entry is made. */
+  /* Makes the flow owned here and delivers its packet; `flow` NULL: adds an entry. */
   LcFlowAction
   lc_flow_agent__take (LcFlowAgent *agent, LcFlow *flow, const LcPacket *packet, int64_t now_us);
-  /* Chooses an endpoint for a new flow: takes it, or sends the packet there. */
+  /* Chooses an endpoint for a new flow; owns the flow here or forwards the packet there. */
   LcFlowAction lc_flow_agent__assign (LcFlowAgent *agent,
                                       LcEnvelope *envelope,
                                       LcFlow *flow,
                                       const LcPacket *packet,
                                       int64_t now_us);
-  /* A packet on its way through a list.  `may_renew`: the list may still be replaced by that of a
-   * newer view. */
+  /* Steers a packet that walks a candidate list.  `may_renew`: the list may still be replaced by
+   * that of a newer view. */
   LcFlowAction lc_flow_agent__decide (LcFlowAgent *agent,
                                       LcEnvelope *envelope,
                                       const LcPacket *packet,
                                       int64_t now_us,
                                       bool may_renew);
-  /* Back to the assigner, with the reason. */
+  /* Sends the packet back to the assigner with the reason. */
   LcFlowAction
   lc_flow_agent__refuse (LcFlowAgent *agent, LcEnvelope *envelope, LcDropReason reason);
 
--- a/src/core/flow/lc-flow-agent.c
+++ b/src/core/flow/lc-flow-agent.c
@@ -13,9 +13,9 @@
   LC_FLOW_LOAD_FANOUT = 16,
   LC_FLOW_REGISTRATIONS_TICK = 64,
   LC_FLOW_HAND_OVER_BATCH = 1024,
-  LC_FLOW_BYTE_SMOOTHING = 8,  /* seconds */
-  LC_FLOW_TELL_PERMILLE = 50,  /* a change of the count that is told at the next tick */
-  LC_FLOW_HAND_OVER_TICKS = 4, /* offers are sent again every so many ticks */
+  LC_FLOW_BYTE_SMOOTHING = 8,  /* seconds, of the moving average */
+  LC_FLOW_TELL_PERMILLE = 50,  /* change of the load that is reported before the interval ends */
+  LC_FLOW_HAND_OVER_TICKS = 4, /* ticks between resends of an offer */
 };
 
 #define LC_FLOW_UDP_IDLE_US (300 * LC_US_PER_S)
@@ -50,7 +50,7 @@
     }
 }
 
-/* A smooth byte rate: one flow's packets come seconds apart. */
+/* Smooths the byte rate: packets of one flow may be seconds apart. */
 static void
 lc_flow_agent__measure_bytes (LcFlowAgent *a, int64_t now_us)
 {
@@ -64,8 +64,7 @@
   a->bytes_since_us = now_us;
 }
 
-/* Whether the count has moved by so much since it was told that assigners would err by it. */
-/* What others compare it by, in flows: one at work weighs more than one that is open. */
+/* Load in flows, as peers compare it: a request in work weighs more than an open flow. */
 static uint32_t
 lc_flow_agent__weight (const LcFlowAgent *a, int64_t now_us)
 {
@@ -73,54 +72,55 @@
          lc_flow_gate_load (&a->gate, now_us) * a->desc.assign.work_weight;
 }
 
+/* Whether the load changed enough since the last report to mislead assigners. */
 static bool
 lc_flow_agent__has_changed (const LcFlowAgent *a, int64_t now_us)
 {
   uint32_t open = lc_flow_agent__weight (a, now_us);
-  uint32_t moved = open > a->told_flows ? open - a->told_flows : a->told_flows - open;
+  uint32_t change = open > a->reported_load ? open - a->reported_load : a->reported_load - open;
 
-  return (uint64_t)moved * 1000 > (uint64_t)a->told_flows * LC_FLOW_TELL_PERMILLE ||
-         a->told_bad != lc_flow_agent__looks_bad (a, now_us) ||
-         a->told_spent == lc_cold_limit_has_room (&a->firsts, now_us);
+  return (uint64_t)change * 1000 > (uint64_t)a->reported_load * LC_FLOW_TELL_PERMILLE ||
+         a->reported_bad != lc_flow_agent__looks_bad (a, now_us) ||
+         a->reported_spent == lc_cold_limit_has_room (&a->firsts, now_us);
 }
 
-/* Tells the peers this agent's count; of a large service, a part each time in turn. */
+/* Reports the load to up to desc.load_fanout peers, in rotation. */
 static void
 lc_flow_agent__tell_load (LcFlowAgent *a, int64_t now_us)
 {
   uint32_t n = a->assign.n_peers;
-  uint32_t told = 0;
+  uint32_t sent = 0;
 
-  if (n == 0 || (now_us < a->next_load_us && (now_us - a->told_us < a->desc.tell_min_us ||
+  if (n == 0 || (now_us < a->next_load_us && (now_us - a->reported_us < a->desc.tell_min_us ||
                                               !lc_flow_agent__has_changed (a, now_us))))
     return;
-  a->told_flows = lc_flow_agent__weight (a, now_us);
-  a->told_us = now_us;
-  a->told_bad = lc_flow_agent__looks_bad (a, now_us);
-  a->told_spent = !lc_cold_limit_has_room (&a->firsts, now_us);
+  a->reported_load = lc_flow_agent__weight (a, now_us);
+  a->reported_us = now_us;
+  a->reported_bad = lc_flow_agent__looks_bad (a, now_us);
+  a->reported_spent = !lc_cold_limit_has_room (&a->firsts, now_us);
   a->next_load_us = now_us + a->desc.load_interval_us;
-  for (uint32_t k = 0; k < n && told < a->desc.load_fanout; k++)
+  for (uint32_t k = 0; k < n && sent < a->desc.load_fanout; k++)
     {
-      const LcAssignPeer *p = &a->assign.peers[(a->load_turn + k) % n];
+      const LcAssignPeer *p = &a->assign.peers[(a->next_load_peer + k) % n];
 
       if (p->agent.id == a->desc.self.id)
         continue;
       (void)lc_flow_pointers_message (a, LC_FLOW_LOAD, &p->agent);
-      told++;
+      sent++;
     }
-  a->load_turn = (a->load_turn + told) % n;
+  a->next_load_peer = (a->next_load_peer + sent) % n;
 }
 
 static uint32_t
-lc_flow_agent__or (uint32_t value, uint32_t when_zero)
+lc_flow_agent__or (uint32_t value, uint32_t fallback)
 {
-  return value != 0 ? value : when_zero;
+  return value != 0 ? value : fallback;
 }
 
 static int64_t
-lc_flow_agent__or_us (int64_t value_us, int64_t when_zero_us)
+lc_flow_agent__or_us (int64_t value_us, int64_t fallback_us)
 {
-  return value_us != 0 ? value_us : when_zero_us;
+  return value_us != 0 ? value_us : fallback_us;
 }
 
 static void
@@ -135,7 +135,7 @@
   lc_cold_limit_set_rate (&a->firsts, service != NULL ? service->cold_rate_mrps : 0);
 }
 
-/* What decides which homes of the sets count.  The order of the addresses does not matter. */
+/* Digest of each address and its home regions; independent of the order of the addresses. */
 static uint64_t
 lc_flow_agent__homes_digest (const LcView *view)
 {
@@ -155,14 +155,15 @@
   return digest;
 }
 
-/* Acknowledgements are carried over from the list before only where the same regions made it. */
+/* Acknowledgements are carried over from the previous sets (version + 1) only if the home regions
+ * are unchanged. */
 static void
 lc_flow_agent__note_homes (LcFlowAgent *a, const LcView *view)
 {
   uint64_t digest = lc_flow_agent__homes_digest (view);
 
-  a->sets_version += digest == a->homes_digest ? 1 : 2;
-  a->homes_digest = digest;
+  a->sets_version += digest == a->home_regions_digest ? 1 : 2;
+  a->home_regions_digest = digest;
 }
 
 /* === public: lifetime and view ============================================================== */
@@ -184,7 +185,7 @@
   lc_flow_table_init (&a->table, d->max_flows, now_us);
   lc_assign_init (&a->assign, &d->assign);
   a->outbox = g_queue_new ();
-  a->knows_all_us = d->is_fresh ? now_us : now_us + d->tcp_idle_us;
+  a->complete_from_us = d->is_fresh ? now_us : now_us + d->tcp_idle_us;
   if (d->is_returning)
     {
       a->searches = g_new (LcFlowSearches, 1);
@@ -243,8 +244,8 @@
     lc_flow_finder_set_members (a, now_us);
 }
 
-/* A searcher may know another start of this endpoint than this one: it is answered all the same, so
- * that it does not take this one for gone. */
+/* A searcher may still have the instance of an earlier process of this endpoint.  It is answered
+ * nevertheless, or it would count this endpoint as silent. */
 static bool
 lc_flow_agent__is_for_self (const LcFlowAgent *a, const LcFlowMessage *m)
 {
@@ -312,7 +313,7 @@
 lc_flow_agent_message (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
 {
   LcAssignPeer *sender = lc_assign_peer (&a->assign, m->load.agent.id);
-  /* Whatever start of it speaks: it is there. */
+  /* Any instance counts: the endpoint responds. */
   bool was_silent = sender != NULL && lc_flow_finder_heard (sender, now_us);
 
   lc_flow_agent__take_message (a, m, now_us);
@@ -325,7 +326,7 @@
 {
   a->registration_budget = a->desc.registrations_tick;
   if (a->table.n_owned > 0)
-    a->busy_us = now_us;
+    a->last_busy_us = now_us;
   lc_flow_agent__expire (a, now_us);
   lc_flow_pointers_flush (a, now_us);
   if (a->n_ticks++ % LC_FLOW_HAND_OVER_TICKS == 0)
@@ -371,7 +372,7 @@
 lc_flow_agent_set_backend (LcFlowAgent *a, LcFlowBackend backend)
 {
   a->backend = backend;
-  a->has_refused = a->has_refused && backend == LC_FLOW_BACKEND_ASKED;
+  a->has_returned_first = a->has_returned_first && backend == LC_FLOW_BACKEND_ASKED;
 }
 
 void
@@ -424,7 +425,7 @@
 bool
 lc_flow_agent_is_drained (const LcFlowAgent *a, int64_t now_us)
 {
-  return a->is_leaving && a->table.n_owned == 0 && now_us - a->busy_us >= LC_FLOW_LINGER_US &&
+  return a->is_leaving && a->table.n_owned == 0 && now_us - a->last_busy_us >= LC_FLOW_LINGER_US &&
          now_us >= a->settling_until_us && lc_candidate_sets_settled (&a->sets);
 }
 
@@ -452,7 +453,7 @@
 uint32_t
 lc_flow_agent_open_flows (const LcFlowAgent *a)
 {
-  uint32_t away = a->n_adopted + a->n_ended;
+  uint32_t n_other = a->n_adopted + a->n_ended;
 
-  return a->table.n_owned > away ? a->table.n_owned - away : 0;
+  return a->table.n_owned > n_other ? a->table.n_owned - n_other : 0;
 }
--- a/src/core/flow/lc-flow-agent.h
+++ b/src/core/flow/lc-flow-agent.h
@@ -1,21 +1,22 @@
-/* lc-flow-agent: the flow plane of one agent, without its sockets.
+/* lc-flow-agent: flow state machine of one agent: packets, messages and time in, actions out.
  *
  * WHAT IT IS
- *   Joins the table of flows, the candidate sets, the assigner's knowledge and the steering rule
- *   into one state machine.  Packets, messages, views and the time go in; what to do with the
- *   packet, and messages to send, come out.
+ *   Joins the flow table, the candidate sets, the load-based endpoint choice and the steering rule.
+ *   It has no sockets: packets, messages, views and the time are passed in; what to do with each
+ *   packet, and messages to send to other agents, come out.
  *
  * OWNERS AND POINTERS
- *   The owner of a flow registers a pointer with every home that any balancer may still ask: the
- *   homes of the current candidate set and of each former set that has not settled.  It sends each
- *   until the home has acknowledged, again a minute later, and says when the flow ended.  When all
- *   owned flows are registered with the current homes, lc_flow_agent_registered_revision reaches
- *   the view's revision; only then may control settle the former sets.
+ *   The owner of a flow registers a pointer with every home that a balancer may still query: the
+ *   homes of the current candidate set and of each former set that has not settled.  It resends
+ *   each until the home acknowledges it, refreshes it every desc.refresh_us, and unregisters when
+ *   the flow ends.  Once all owned flows are registered with the current homes,
+ *   lc_flow_agent_registered_revision reaches the view's revision; only then may control settle the
+ *   former sets.
  *
  * PLANNED STOP
- *   lc_flow_agent_leave refuses new flows at once.  lc_flow_agent_hand_over gives what is still
- *   owned to agents that go on delivering to this agent's backend server; when an agent of the same
- *   endpoint id comes back, they return it.
+ *   lc_flow_agent_leave refuses new flows at once.  lc_flow_agent_hand_over transfers the flows
+ *   that are still owned to agents that go on delivering to this agent's backend server; when an
+ *   agent of the same endpoint id comes back, they transfer them back.
  *
  * HOW TO USE IT
  *     lc_flow_agent_init (&agent, &desc, now_us);
@@ -23,15 +24,17 @@
  *     action = lc_flow_agent_packet (&agent, &envelope, &packet, now_us);
  *     lc_flow_agent_message (&agent, &message, now_us);
  *     lc_flow_agent_tick (&agent, now_us);                    every LC_FLOW_AGENT_TICK_US
- *     while (lc_flow_agent_next (&agent, &message, now_us)) send it to message.to
+ *     while (lc_flow_agent_next (&agent, &message, now_us))
+ *       send it to message.to
  *     lc_flow_agent_finish (&agent);
  *
  * LIFETIME
  *   `view` must stay valid until the next set_view or finish.
  *
  * LIMITS
- *   A PENDING mark lives LC_FLOW_PENDING_US: a first packet and its owner's registration are
- *   expected to take less.  At most desc.max_flows entries; a flow beyond is dropped and counted.
+ *   A PENDING entry lives LC_FLOW_PENDING_US: a first packet and its owner's registration are
+ *   expected to take less.  At most desc.max_flows entries; packets of flows beyond are dropped and
+ *   counted.
  */
 #ifndef LC_FLOW_AGENT_H
 #define LC_FLOW_AGENT_H
@@ -58,30 +61,30 @@
     LcCandidate self;
     LcServiceId service_id;
     uint32_t connection_limit;   /* 0: 2000 */
-    uint32_t max_flows;          /* entries of every kind; 0: 4 million */
+    uint32_t max_flows;          /* table entries of every kind; 0: 4 million */
     int64_t udp_idle_us;         /* 0: 300 s */
     int64_t tcp_idle_us;         /* 0: 2 h */
-    int64_t refresh_us;          /* 0: 60 s; pointers live three and a half times this long */
+    int64_t refresh_us;          /* 0: 60 s; pointers expire after 3.5 times this */
     int64_t load_interval_us;    /* 0: 500 ms */
-    int64_t tell_min_us;         /* a changed load is told no sooner after the last; 0: a tick */
-    uint32_t load_fanout;        /* peers told each interval; 0: 16 */
-    uint32_t registrations_tick; /* owned flows sent again a tick after a change; 0: 64 */
-    uint32_t backend_ipv4;       /* named in hand-overs */
+    int64_t tell_min_us;         /* between reports of a changed load; 0: a tick */
+    uint32_t load_fanout;        /* peers that get each load report; 0: 16 */
+    uint32_t registrations_tick; /* resent registrations a tick; 0: 64 */
+    uint32_t backend_ipv4;       /* of the backend server, for hand-overs */
     uint16_t backend_port;
-    bool is_returning; /* the backend server returns what it does not hold: lc-flow-return.h */
-    bool is_fresh;     /* the backend server began under this agent: it holds nothing yet */
-    bool has_gate;     /* and requests wait beside it when it has no free slot: lc-flow-gate.h */
+    bool is_returning; /* backend servers return packets of unknown flows: lc-flow-return.h */
+    bool is_fresh;     /* the backend server started after this agent and holds no flow yet */
+    bool has_gate;     /* also queue requests while it has no free slot: lc-flow-gate.h */
     LcFlowGateDesc gate;
     LcColdLimitDesc cold;
     LcAssignDesc assign;
   } LcFlowAgentDesc;
 
-  /* What is known of the backend server, as far as new flows go. */
+  /* Whether the backend server may be given new flows. */
   typedef enum
   {
-    LC_FLOW_BACKEND_OPEN = 0,  /* it says that it takes them, or says nothing of itself ever */
-    LC_FLOW_BACKEND_ASKED = 1, /* it has not reported itself to this process: asked on trust */
-    LC_FLOW_BACKEND_NONE = 2,  /* it leaves, is silent, or was not there */
+    LC_FLOW_BACKEND_OPEN = 0,  /* reported open, or it never reports its state */
+    LC_FLOW_BACKEND_ASKED = 1, /* no report to this process yet: used until it returns one */
+    LC_FLOW_BACKEND_NONE = 2,  /* leaving, silent or absent */
   } LcFlowBackend;
 
   typedef enum
@@ -90,11 +93,11 @@
     LC_FLOW_ACTION_SEND = 2, /* the envelope was rewritten; send it to ipv4 and port */
     LC_FLOW_ACTION_DROP = 3,
 
-    /* Where backend servers return what they do not hold: */
-    LC_FLOW_ACTION_TRY = 4,    /* give it to the backend server with try_mark; nobody owns it yet */
-    LC_FLOW_ACTION_SEARCH = 5, /* keep it until its owner is found, and try it here if is_here */
-    LC_FLOW_ACTION_RESET = 6,  /* tell the caller that the flow can't be opened, for `reason` */
-    LC_FLOW_ACTION_HOLD = 7, /* keep it with the others of `hold_flow`: lc_flow_return_next_held */
+    /* With desc.is_returning only: */
+    LC_FLOW_ACTION_TRY = 4,    /* give it to the backend server with try_mark; no owner known */
+    LC_FLOW_ACTION_SEARCH = 5, /* store it until its owner is found; try it here if is_here */
+    LC_FLOW_ACTION_RESET = 6,  /* reset the caller: the flow can't be opened, for `reason` */
+    LC_FLOW_ACTION_HOLD = 7,   /* queue it for `hold_flow` until lc_flow_return_next_held */
   } LcFlowActionKind;
 
   typedef struct
@@ -105,10 +108,10 @@
       struct
       {
         uint32_t flow;         /* index in the table */
-        bool is_new;           /* taken by this packet */
-        uint32_t backend_ipv4; /* of an adopted flow; 0: this agent's own backend server */
+        bool is_new;           /* this packet created the flow */
+        uint32_t backend_ipv4; /* of an adopted flow; 0: the own backend server */
         uint16_t backend_port;
-        uint32_t mark; /* comes back with the packet if it is returned */
+        uint32_t mark; /* attached again if the packet is returned */
       } deliver;
       struct
       {
@@ -120,31 +123,31 @@
       uint32_t hold_flow; /* index in the table */
       struct
       {
-        uint32_t place; /* keep the packet under this number: lc_flow_finder_next_try */
-        bool is_here;   /* try it on the backend server here, too */
+        uint32_t place; /* store the packet under it: lc_flow_finder_next_try */
+        bool is_here;   /* also try it on the own backend server */
       } search;
     };
   } LcFlowAction;
 
-  /* What a packet of the backend server answers. */
+  /* What a packet of the backend server responds to. */
   typedef enum
   {
     LC_FLOW_ANSWER_NONE = 0,
-    LC_FLOW_ANSWER_OPENED = 1, /* the flow's first packet */
-    LC_FLOW_ANSWER_BEGUN = 2,  /* a request: its answer begins */
+    LC_FLOW_ANSWER_OPENED = 1, /* the flow's first packet: the flow is accepted */
+    LC_FLOW_ANSWER_BEGUN = 2,  /* a request: first data of the response */
   } LcFlowAnswerKind;
 
   typedef struct
   {
     LcFlowAnswerKind kind;
-    int64_t after_us; /* since the packet that it answers; whole milliseconds */
+    int64_t after_us; /* since the packet it responds to; whole milliseconds */
   } LcFlowAnswer;
 
-  /* What becomes of the packets that were held for a flow. */
+  /* What to do with the packets held for a flow. */
   typedef struct
   {
     uint32_t flow; /* as in LcFlowAction.hold_flow */
-    bool is_given; /* to the backend server now; false: dropped */
+    bool is_given; /* deliver them now; false: drop them */
   } LcFlowHeld;
 
   typedef struct
@@ -158,18 +161,18 @@
     uint64_t delivered_total;
     uint64_t forwarded_total;
     uint64_t taken_total;
-    uint64_t assigned_total; /* as the assigner, to itself or another */
-    uint64_t passed_total;   /* of these, to another */
+    uint64_t assigned_total; /* flows for which this agent chose the endpoint */
+    uint64_t passed_total;   /* of these, to another endpoint */
     uint64_t refused_total;
-    uint64_t conflicts_total; /* a home knew another owner: the flow was given up */
+    uint64_t conflicts_total; /* a home refused the claim: another owner */
     uint64_t adopted_total;
-    uint64_t broken_total; /* flows of owners that are gone, seen by their first home */
+    uint64_t broken_total; /* owner is gone, counted by the first home */
     uint64_t messages_total;
-    uint64_t returned_total; /* packets that the backend server did not hold the flow of */
+    uint64_t returned_total; /* packets returned by the backend server */
     uint64_t searched_total; /* packets whose owner was searched for */
-    uint64_t denied_total;   /* searches that ended with nobody holding the flow */
-    uint64_t asked_total;    /* messages of rounds, to agents that may know the owner */
-    uint64_t ejected_total;  /* times that the backend server was left out for its failures */
+    uint64_t unowned_total;  /* searches that found no owner */
+    uint64_t asked_total;    /* query messages of search rounds */
+    uint64_t ejected_total;  /* times the backend server was ejected as an outlier */
     uint64_t dropped_total[LC_N_DROP_REASONS];
   } LcFlowAgentCounts;
 
@@ -181,47 +184,47 @@
     const LcView *view;
     LcCandidateSets sets;
     LcCandidateSets previous_sets;
-    LcCandidateSets settling_sets; /* as they were before a set settled, for LC_FLOW_SETTLE_US */
+    LcCandidateSets settling_sets; /* before a set settled; kept LC_FLOW_SETTLE_US */
     int64_t settling_until_us;
     int64_t settling_from_us;
-    LcRevision roster; /* of its service: LcService.roster_revision */
+    LcRevision roster; /* LcService.roster_revision */
     uint32_t sets_version;
-    uint64_t homes_digest; /* of the addresses with homes, and where those are, in the view */
-    uint32_t n_behind;
-    uint32_t n_adopted; /* owned, of another's backend server */
-    LcFlowGate gate;    /* requests that the backend server works on, and those that wait */
-    LcColdLimit firsts; /* first packets given to it */
-    LcFlowReturners returners;
-    GArray *held;      /* LcFlowHeld: what is to be done with packets that were held */
-    uint32_t n_ended;  /* owned and not adopted, waiting for stragglers after the last packet */
+    uint64_t home_regions_digest; /* of the view's addresses and their home regions */
+    uint32_t n_behind;            /* owned, not yet registered with all current homes */
+    uint32_t n_adopted;           /* owned, delivered to another agent's backend server */
+    LcFlowGate gate;              /* requests in work and queued */
+    LcColdLimit firsts;           /* rate limit of first packets while it is cold */
+    LcFlowReturners reconnects;
+    GArray *held;      /* LcFlowHeld: decisions on held packets */
+    uint32_t n_ended;  /* owned, not adopted, lingering for late packets after the last one */
     LcDcId dc;         /* of this agent */
-    LcDcId arrival_dc; /* where the packet at hand came in; 0: not known */
+    LcDcId arrival_dc; /* where the current packet entered; 0: not known */
     bool is_leaving;
     bool is_cut_off;
     LcFlowBackend backend;
-    bool has_refused; /* it was asked on trust, and returned a first packet */
+    bool has_returned_first; /* while unconfirmed, it returned a first packet */
     bool is_handing_over;
     bool looks_bad;
-    LcOutlier outlier; /* returning formats: requests that the backend server resets, in a row */
-    bool told_bad;     /* as the peers were told last */
-    bool told_spent;   /* that a cold backend server's rate is */
-    bool is_warm;      /* flows of its backend server were handed back to it */
+    LcOutlier outlier;   /* consecutive failures of the backend server */
+    bool reported_bad;   /* looks_bad in the last load report */
+    bool reported_spent; /* cold rate used up, in the last load report */
+    bool is_warm;        /* flows of its backend server were handed back */
     uint32_t n_ticks;
-    uint32_t next_try; /* place of the search that is looked at next for whom to try */
+    uint32_t next_try_slot; /* next search slot to check for packets to send */
     int64_t next_load_us;
-    int64_t knows_all_us; /* from then on it knows every flow of its backend server */
-    int64_t busy_us;      /* a flow was owned, or given to another agent, at this time */
-    uint32_t load_turn;
-    uint32_t told_flows; /* open flows when the peers were told last */
-    int64_t told_us;
+    int64_t complete_from_us; /* from then on the table has every flow of its backend server */
+    int64_t last_busy_us;     /* last time a flow was owned or assigned to another agent */
+    uint32_t next_load_peer;  /* peer index at which the next load report begins */
+    uint32_t reported_load;   /* weighted load in the last report */
+    int64_t reported_us;
     uint32_t registration_budget;
     uint64_t bytes_window;
     int64_t bytes_since_us;
     uint32_t byte_rate;
     GQueue *outbox;           /* LcFlowMessage, owned */
-    LcFlowSearches *searches; /* owned; NULL: backend servers don't return packets */
-    GArray *resets;           /* LcPacket: flows that nobody holds */
-    GArray *found;            /* LcFlowFound: packets to be given to the owners that were found */
+    LcFlowSearches *searches; /* owned; NULL without desc.is_returning */
+    GArray *resets;           /* LcPacket: of flows that no backend server holds */
+    GArray *found;            /* LcFlowFound: stored packets to send to their owners */
     LcFlowAgentCounts counts;
   } LcFlowAgent;
 
@@ -229,7 +232,7 @@
   void lc_flow_agent_finish (LcFlowAgent *agent);
   void lc_flow_agent_set_view (LcFlowAgent *agent, const LcView *view, int64_t now_us);
 
-  /* Decides about one packet and rewrites the envelope when it is to be sent on. */
+  /* Decides what to do with a packet; rewrites the envelope if the packet is forwarded. */
   LcFlowAction lc_flow_agent_packet (LcFlowAgent *agent,
                                      LcEnvelope *envelope,
                                      const LcPacket *packet,
@@ -238,30 +241,31 @@
   void lc_flow_agent_tick (LcFlowAgent *agent, int64_t now_us);
   bool lc_flow_agent_next (LcFlowAgent *agent, LcFlowMessage *message, int64_t now_us);
 
-  /* Whether upstream was last heard so long ago that this endpoint may count as lost. */
+  /* Whether upstream has been silent so long that control may have marked this endpoint lost. */
   void lc_flow_agent_set_cut_off (LcFlowAgent *agent, bool is_cut_off);
   void lc_flow_agent_set_backend (LcFlowAgent *agent, LcFlowBackend backend);
-  /* Whether the backend server is cold still, or may be, for all that is known. */
+  /* Whether the backend server is, or may be, still cold. */
   void lc_flow_agent_set_cold (LcFlowAgent *agent, bool is_cold);
   void lc_flow_agent_set_dc (LcFlowAgent *agent, LcDcId dc);
-  /* The same backend server goes on under this name: its flows are registered anew. */
+  /* Changes this agent's identity (same backend server) and registers its flows again. */
   void lc_flow_agent_rename (LcFlowAgent *agent, const LcCandidate *self);
   void lc_flow_agent_set_looks_bad (LcFlowAgent *agent, bool looks_bad);
   void lc_flow_agent_leave (LcFlowAgent *agent);
-  /* What was said of leaving was of an earlier backend server: new flows are taken again. */
+  /* Takes new flows again: the leave request concerned an earlier backend server.  No effect after
+   * lc_flow_agent_hand_over. */
   void lc_flow_agent_stay (LcFlowAgent *agent);
   void lc_flow_agent_hand_over (LcFlowAgent *agent);
-  /* Whether a leaving agent may end: it owns nothing, its view has settled without it, and whatever
-   * it gave to others has arrived (LC_FLOW_LINGER_US). */
+  /* Whether a leaving agent may stop: it owns nothing, its view has settled without it, and packets
+   * it assigned to others have arrived (LC_FLOW_LINGER_US). */
   bool lc_flow_agent_is_drained (const LcFlowAgent *agent, int64_t now_us);
-  /* Whether another endpoint can take over what this agent owns. */
+  /* Whether another endpoint can take over the flows of this agent. */
   bool lc_flow_agent_has_heir (const LcFlowAgent *agent);
 
-  /* Newest view revision with whose homes every owned flow is registered; 0: none yet. */
+  /* Newest view revision for which every owned flow is registered with all homes; 0: none. */
   LcRevision lc_flow_agent_registered_revision (const LcFlowAgent *agent);
-  /* Flows of this agent's own backend server. */
+  /* Open flows of this agent's own backend server. */
   uint32_t lc_flow_agent_open_flows (const LcFlowAgent *agent);
-  /* Requests without an answer: those that the backend server has, and those that wait for it. */
+  /* Unanswered requests: those in work at the backend server and those queued for it. */
   uint32_t lc_flow_agent_at_work (const LcFlowAgent *agent);
 
 #ifdef __cplusplus
--- a/src/core/flow/lc-flow-finder.c
+++ b/src/core/flow/lc-flow-finder.c
@@ -5,16 +5,15 @@
 
 #include <xxhash.h>
 
-/* A lost endpoint's flows count as gone after this time: it is longer than the lease, and than the
- * time after which a platform counts a cut-off VM as out of touch (4 to 5 s). */
+/* After this time a lost endpoint's flows count as gone: longer than the lease, and than the time
+ * after which a platform reports a cut-off VM as disconnected (4 to 5 s). */
 #define LC_FLOW_LOST_US (5 * LC_US_PER_S)
 
-/* One that answers none of a searcher's questions for this long is dead, or cut off, though the
- * view may not know it for 15 s after a return of all: nobody has a lease of an endpoint that did
- * not come back, and one such endpoint kept every caller of a lost flow waiting for its time limit.
- * Longer than an agent is away when it is stopped and started again and waits for a view: 0.15 s to
- * its end, some 0.5 s until it is started, 1 s for its first view when its first upstream has none.
- */
+/* An endpoint that leaves queries unanswered for this long counts as dead or cut off.  When all
+ * endpoints restart at once, the view may not show that for 15 s, since nobody has a lease of one
+ * that did not come back; one such endpoint kept every caller of a lost flow waiting for its time
+ * limit.  Longer than the restart of an agent: 0.15 s to its end, some 0.5 s until it is started,
+ * 1 s for its first view when its first upstream has none. */
 #define LC_FLOW_SILENT_US (5 * LC_US_PER_S / 2)
 
 /* === private: members ======================================================================= */
@@ -25,9 +24,9 @@
   return a->assign.n_peers <= LC_FLOW_FINDER_DIRECT;
 }
 
-/* Endpoints whose word is waited for.  One that the view has lost may live and be cut off; after
- * LC_FLOW_LOST_US its callers are better served by a new flow, and so are those of one that does
- * not answer. */
+/* Whether a search waits for this endpoint.  One that is LOST in the view may be alive and cut
+ * off; after LC_FLOW_LOST_US its callers are better served by a new flow, and so are those of an
+ * endpoint that does not answer. */
 static bool
 lc_flow_finder__is_awaited (const LcAssignPeer *p, int64_t now_us)
 {
@@ -48,8 +47,8 @@
   return (LcFlowSearchMember){ m->load.agent.id, m->load.agent.ipv4 };
 }
 
-/* The newest endpoint that the sender knows.  An older program tells of sets alone: one that is
- * newer than the set here may have an endpoint that is not known here. */
+/* Roster revision of the sender.  An older program sends that of its candidate set only: if that is
+ * newer than the set here, the sender may have an endpoint that is unknown here. */
 static LcRevision
 lc_flow_finder__newest (const LcFlowAgent *a, const LcFlowMessage *m)
 {
@@ -60,7 +59,7 @@
 
 /* === private: searchers ===================================================================== */
 
-/* The agents that take turns in searching for this flow: those that score highest for its shard. */
+/* The agents that rotate as searchers of this flow: the highest rendezvous scores for its shard. */
 static uint32_t
 lc_flow_finder__searchers (const LcFlowAgent *a,
                            const LcPacket *packet,
@@ -112,7 +111,7 @@
 
   while (lc_flow_search_next_lost (a->searches, &packet))
     {
-      a->counts.denied_total++;
+      a->counts.unowned_total++;
       g_array_append_val (a->resets, packet);
     }
 }
@@ -135,16 +134,16 @@
   a->counts.asked_total++;
 }
 
-/* It was asked, and has said nothing since for longer than an answer takes. */
+/* Whether it was queried and has sent nothing since for longer than an answer takes. */
 static bool
 lc_flow_finder__is_silent (const LcAssignPeer *peer, int64_t now_us)
 {
   return peer->asked_us != 0 && now_us - peer->asked_us >= LC_FLOW_ROUND_RETRY_US;
 }
 
-/* Asks the members that have not answered the round.  Those whose agents don't know all are asked
- * as well: they may know by now.  A silent one gets one question a retry, of whatever round, to
- * learn whether it is there: questions for each round would grow with the square of the time. */
+/* Queries the members that have not answered the round, also those with incomplete knowledge, which
+ * may be complete by now.  A silent member gets one query a retry interval, of any round, to detect
+ * that it is back: queries of each round would grow with the square of the time. */
 static void
 lc_flow_finder__send_round (LcFlowAgent *a, const LcFlowRound *round, int64_t now_us)
 {
@@ -189,17 +188,17 @@
          (lc_flow_finder__is_direct (a) || peer->knowledge == LC_FLOW_KNOWS_SOME);
 }
 
-/* === private: the asked ===================================================================== */
+/* === private: queries ======================================================================= */
 
-/* Whether the backend server here, which has answered the flow, may hold it although the homes
- * decided for another owner. */
+/* Whether the own backend server, which has responded on the flow, may hold it although the homes
+ * point to another owner. */
 static bool
 lc_flow_finder__is_unsure (const LcFlow *f)
 {
   return f->kind != LC_FLOW_OWNED && (f->flags & LC_FLOW_ANSWERED) != 0;
 }
 
-/* What this agent can say of one flow. */
+/* Adds what this agent has of the flow to the answer: owner, confirmed pointer or unsure. */
 static void
 lc_flow_finder__say (LcFlowAgent *a, const LcFlowKey *key, LcFlowMessage *answer)
 {
@@ -214,7 +213,7 @@
   if (f->kind == LC_FLOW_OWNED)
     owner = a->desc.self;
   if (f->kind == LC_FLOW_OWNED && (f->flags & LC_FLOW_QUEUED) == 0)
-    lc_flow_pointers_start (a, f); /* its homes have forgotten it */
+    lc_flow_pointers_start (a, f); /* its homes have lost it */
   entry = &answer->entries[answer->n++];
   entry->key = *key;
   entry->is_unsure = lc_flow_finder__is_unsure (f);
@@ -234,7 +233,7 @@
 
   if (searcher == NULL || lc_candidate_equal (searcher, &a->desc.self))
     return lc_flow_finder_search (a, e, packet, now_us);
-  e->stray_id = a->desc.self.id; /* who is to learn the owner */
+  e->stray_id = a->desc.self.id; /* the home that gets the owner */
   return lc_flow_agent__send (a, e, LC_MODE_FIND, searcher);
 }
 
@@ -247,25 +246,24 @@
     lc_flow_finder__say (a, key, lc_flow_pointers_message (a, LC_FLOW_ANSWER, &peer->agent));
 }
 
-/* Begins a search, or goes on with it; `is_cleared`: the backend server here does not hold the
- * flow. */
+/* Begins or continues a search; `is_ruled_out`: the own backend server does not hold the flow. */
 static LcFlowSearch *
-lc_flow_finder__begin (LcFlowAgent *a, const LcPacket *packet, bool is_cleared, int64_t now_us)
+lc_flow_finder__begin (LcFlowAgent *a, const LcPacket *packet, bool is_ruled_out, int64_t now_us)
 {
   LcFlowSearchMember self = lc_flow_finder__self (a);
   LcFlowSearch *search = lc_flow_search_begin (a->searches, packet, now_us);
 
   a->counts.searched_total++;
-  lc_flow_returners_lost (&a->returners, packet->key.source_ipv4, now_us);
+  lc_flow_returners_lost (&a->reconnects, packet->key.source_ipv4, now_us);
   search->is_new_packet = true;
-  a->next_try = MIN (a->next_try, lc_flow_search_place (a->searches, search));
-  if (is_cleared)
+  a->next_try_slot = MIN (a->next_try_slot, lc_flow_search_place (a->searches, search));
+  if (is_ruled_out)
     lc_flow_search_clear (a->searches, &packet->key, &self, a->roster, now_us);
   return search;
 }
 
-/* The packet's homes are of the balancer's view: those that are not in the view here may hold the
- * flow as well, and are given the packet. */
+/* Sends the packet also to homes of the balancer's view that are not in the view here: they may
+ * hold the flow. */
 static void
 lc_flow_finder__try_unknown (LcFlowAgent *a, const LcEnvelope *e, uint32_t place)
 {
@@ -336,9 +334,9 @@
       return true;
     }
 
-  while (a->searches != NULL && a->next_try < LC_FLOW_SEARCHES)
+  while (a->searches != NULL && a->next_try_slot < LC_FLOW_SEARCHES)
     {
-      LcFlowSearch *search = lc_flow_search_at (a->searches, a->next_try++, now_us);
+      LcFlowSearch *search = lc_flow_search_at (a->searches, a->next_try_slot++, now_us);
 
       if (search == NULL)
         continue;
@@ -347,7 +345,7 @@
       search->is_new_packet = false;
       if (next->n == 0)
         continue;
-      next->place = a->next_try - 1;
+      next->place = a->next_try_slot - 1;
       for (uint32_t i = 0; i < next->n; i++)
         next->to[i] = lc_assign_peer (&a->assign, ids[i])->agent;
       return true;
@@ -403,7 +401,7 @@
     lc_flow_finder__say (a, &m->entries[i].key, answer);
 }
 
-/* The packet that waited goes to the owner at once: a copy would come 0.2 s later. */
+/* Forwards the stored packet to the owner at once: a retransmission would come 0.2 s later. */
 static void
 lc_flow_finder__found (LcFlowAgent *a, const LcFlowKey *key, const LcCandidate *owner)
 {
@@ -431,7 +429,7 @@
         lc_flow_search_doubt (a->searches, &e->key, &sender);
       if (owner.id == 0)
         continue;
-      /* The owner's own word counts even where the view has lost it. */
+      /* An owner's own claim counts even if the view has it as LOST. */
       if (lc_flow_pointers_learn (a, &e->key, &owner, m->load.revision, now_us) ||
           lc_candidate_equal (&owner, &m->load.agent))
         lc_flow_finder__found (a, &e->key, &owner);
@@ -469,13 +467,13 @@
 {
   if (a->searches == NULL || a->searches->n_used == 0)
     return;
-  lc_flow_finder_set_members (a, now_us); /* lost ones are awaited no more after a while */
+  lc_flow_finder_set_members (a, now_us); /* lost and silent ones time out */
   lc_flow_finder__ask (a, now_us);
-  a->next_try = 0;
+  a->next_try_slot = 0;
 }
 
 LcFlowKnowledge
 lc_flow_finder_knowledge (const LcFlowAgent *a, int64_t now_us)
 {
-  return now_us >= a->knows_all_us ? LC_FLOW_KNOWS_ALL : LC_FLOW_KNOWS_SOME;
+  return now_us >= a->complete_from_us ? LC_FLOW_KNOWS_ALL : LC_FLOW_KNOWS_SOME;
 }
--- a/src/core/flow/lc-flow-finder.h
+++ b/src/core/flow/lc-flow-finder.h
@@ -1,29 +1,31 @@
-/* lc-flow-finder: how the owner of a flow is found that no home knows.
+/* lc-flow-finder: searches all endpoints of a service for the owner of a flow that no home knows.
  *
  * WHAT IT IS
- *   A part of lc-flow-agent, for services whose backend servers return what they do not hold
- * (lc-flow-return.h).  Homes forget a flow's owner when their agents start again, or never hear of
- * it when the owner's view is old.  Then one agent, the searcher, accounts for every endpoint of
- * the service (lc-flow-search.h): the flow is found, or nobody holds it and its caller is told.
+ *   A part of lc-flow-agent, for services whose backend servers return packets of flows that they
+ *   do not hold (lc-flow-return.h).  Homes lose a flow's owner when their agents restart, or never
+ *   receive it when the owner's view is old.  Then one agent, the searcher, accounts for every
+ *   endpoint of the service (lc-flow-search.h): either the owner is found, or no backend server
+ *   holds the flow and its caller gets a reset.
  *
- *   In a service of up to LC_FLOW_FINDER_DIRECT endpoints the agent at the end of the walk
- * searches, and gives the packet to all of them.  In a larger one it passes the packet to one of
- * LC_FLOW_FINDER_SHARDS searchers that the flow's hash names, which asks in rounds: messages a
- * second are then at most shards x rounds x endpoints x 2 (163 endpoints: 104,000 while every
- * caller of the service searches; 64 packets and as many answers for each single flow were
- * 360,000), and no message grows with the flows of the service or with its endpoints.  Which
- * searcher a flow has changes each LC_FLOW_FINDER_TURN_US, so that one that does not answer costs a
- * copy of a packet.
+ *   In a service of up to LC_FLOW_FINDER_DIRECT endpoints the agent at the end of the walk searches
+ *   and sends the packet to all of them.  In a larger one it passes the packet to one of
+ *   LC_FLOW_FINDER_SHARDS searchers, chosen by the flow's hash, which queries agents in rounds:
+ *   messages a second are then at most shards x rounds x endpoints x 2 (163 endpoints: 104,000
+ *   while every caller of the service searches; 64 packets and as many answers for each single flow
+ *   were 360,000), and no message grows with the flows of the service or with its endpoints.  The
+ *   searcher of a flow rotates each LC_FLOW_FINDER_TURN_US, so that one that does not respond
+ *   costs one copy of a packet.
  *
- * WHO KNOWS ALL
- *   An agent knows all flows of its backend server when that one began under it
- * (LcFlowAgentDesc.is_fresh), or when it has run for an idle timeout: what lives has passed by
- * since. Its word is enough.  Beside other backend servers the packet itself is tried.
+ * COMPLETE KNOWLEDGE
+ *   An agent has all flows of its backend server in its table when that one started after it
+ *   (LcFlowAgentDesc.is_fresh), or when it has run for an idle timeout, as every live flow has
+ *   passed by since.  Its answer is conclusive.  Otherwise the packet itself is sent to the backend
+ *   server, which returns it if it does not hold the flow.
  *
  * HOW TO USE IT
  *   Called by lc-flow-return and lc-flow-agent alone, except
  *     while (lc_flow_finder_next_try (&agent, now_us, &next))
- *       give the packet of the search at next.place to next.to
+ *       send the packet stored under next.place to each of next.to
  *
  * LIFETIME
  *   As the agent.
@@ -42,54 +44,55 @@
   {
     LC_FLOW_FINDER_DIRECT = 16,
     LC_FLOW_FINDER_SHARDS = 16,
-    LC_FLOW_FINDER_TURNS = 3, /* searchers that take turns for one shard */
+    LC_FLOW_FINDER_TURNS = 3, /* searchers that rotate for one shard */
   };
 
-/* Copies of a packet come after 0.2, 0.6 and 1.4 s: one searcher has the time to finish, and a copy
- * within the first second or so meets another if that one does not answer. */
+/* A caller retransmits after 0.2, 0.6 and 1.4 s.  One searcher has the time to finish; if it does
+ * not respond, a retransmission within about the first second reaches another. */
 #define LC_FLOW_FINDER_TURN_US (700 * LC_US_PER_MS)
 
   typedef struct
   {
-    uint32_t place; /* of the search: LcFlowAction.search.place */
+    uint32_t place; /* LcFlowAction.search.place */
     uint32_t n;
     LcCandidate to[LC_FLOW_SEARCH_MAX];
   } LcFlowTry;
 
-  /* The walk has ended and no home knows the owner: searches here, or sends the packet on. */
+  /* Handles the end of a walk without an owner: searches here or forwards to the searcher. */
   LcFlowAction lc_flow_finder_walk_ended (LcFlowAgent *agent,
                                           LcEnvelope *envelope,
                                           const LcPacket *packet,
                                           int64_t now_us);
-  /* The owner is known here, but not to the home that sent the packet on: it is told, or each
-   * packet of an owner whose view is old would take this way. */
+  /* Sends the flow's owner to the home that forwarded a packet without knowing it.  If the owner's
+   * view is old, each of its packets would take this detour otherwise. */
   void lc_flow_finder_tell (LcFlowAgent *agent, LcEndpointId home, const LcFlowKey *key);
-  /* Searches here for the owner of a packet that came in this envelope. */
+  /* Begins or continues a search here for the owner of a packet that came in this envelope. */
   LcFlowAction lc_flow_finder_search (LcFlowAgent *agent,
                                       const LcEnvelope *envelope,
                                       const LcPacket *packet,
                                       int64_t now_us);
-  /* The same for a packet that the backend server here has returned. */
+  /* The same for a packet that the own backend server returned. */
   LcFlowAction
   lc_flow_finder_search_returned (LcFlowAgent *agent, const LcPacket *packet, int64_t now_us);
-  /* The backend server here returned a packet that an agent's search tried on it. */
+  /* Handles a packet of a search that the own backend server returned: informs the searcher. */
   LcFlowAction lc_flow_finder_tried (LcFlowAgent *agent, const LcPacket *packet, int64_t now_us);
-  /* Who is to be given a searched packet now: after an LC_FLOW_ACTION_SEARCH, and after each tick
-   * for as long as there are any, as it turns out whose agents can't say.  `place` is that of the
-   * action, under which its bytes were kept.  False: nobody. */
+  /* Next packet of a search to send, and its targets; false: none.  Call it after each
+   * LC_FLOW_ACTION_SEARCH and each tick until it returns false: which agents can't answer for their
+   * backend servers turns out later.  `place` is that of the action, under which the packet was
+   * stored. */
   bool lc_flow_finder_next_try (LcFlowAgent *agent, int64_t now_us, LcFlowTry *next);
 
-  /* A peer has said something, of whatever kind: whether it was silent before, though asked. */
+  /* Records a message of any kind from a peer; whether it had left queries unanswered before. */
   bool lc_flow_finder_heard (LcAssignPeer *peer, int64_t now_us);
-  /* Asks one that was silent for all that it was not asked meanwhile. */
+  /* Sends a peer that was silent the rounds that it was not queried for meanwhile. */
   void lc_flow_finder_catch_up (LcFlowAgent *agent, LcEndpointId id, int64_t now_us);
 
-  /* The messages of searches. */
+  /* Handlers of LC_FLOW_DENIED, LC_FLOW_ASK and LC_FLOW_ANSWER. */
   void lc_flow_finder_denied (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
   void lc_flow_finder_asked (LcFlowAgent *agent, const LcFlowMessage *message);
   void lc_flow_finder_answered (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
 
-  /* The members of the service, or the time, have changed. */
+  /* Updates the members to account for; call it when the service changed or time has passed. */
   void lc_flow_finder_set_members (LcFlowAgent *agent, int64_t now_us);
   void lc_flow_finder_tick (LcFlowAgent *agent, int64_t now_us);
   LcFlowKnowledge lc_flow_finder_knowledge (const LcFlowAgent *agent, int64_t now_us);
--- a/src/core/flow/lc-flow-pointers.c
+++ b/src/core/flow/lc-flow-pointers.c
@@ -7,7 +7,7 @@
 enum
 {
   LC_FLOW_RETRY_MS = 200,
-  LC_FLOW_OUTBOX_LOOK_BACK = 24, /* open batches looked through for one with room */
+  LC_FLOW_OUTBOX_LOOK_BACK = 24, /* queued messages searched for one with room */
   LC_FLOW_HAND_OVER_MAX_LEFT_MS = 1 << 30,
 };
 
@@ -68,7 +68,7 @@
     list->items[i] = homes[i]->candidate;
 }
 
-/* The bits of the current set's homes: the list begins with them. */
+/* The bits of the current set's homes, with which the list begins. */
 static uint16_t
 lc_flow_pointers__current (const LcCandidateList *list)
 {
@@ -88,7 +88,7 @@
   a->n_behind += is_behind ? 1 : -1;
 }
 
-/* Leaves or enters the queue, and counts as behind, by what is acknowledged. */
+/* Updates the flow's place in the queue and in n_behind from its acknowledgements. */
 static void
 lc_flow_pointers__settle (LcFlowAgent *a, LcFlow *f, const LcCandidateList *list)
 {
@@ -231,8 +231,8 @@
 {
   lc_flow_pointers_disown (a, f);
   a->counts.conflicts_total++;
-  /* Where backend servers return packets, the one here may hold the flow all the same: who asks is
-   * told to try it (lc-flow-finder.h). */
+  /* If backend servers return packets, the one here may hold the flow nevertheless: the entry stays
+   * so that a search tries it (lc-flow-finder.h). */
   if (a->desc.is_returning && (f->flags & LC_FLOW_ANSWERED) != 0)
     lc_flow_table_set_deadline (&a->table, f, now_us + a->desc.tcp_idle_us);
   else
@@ -263,7 +263,7 @@
 
 /* === public: the home's side ================================================================ */
 
-/* Whether another owner that this home knows stands against a claim. */
+/* Whether this home has another live owner, which takes precedence over the claim. */
 static bool
 lc_flow_pointers__stands (const LcFlowAgent *a,
                           const LcFlow *f,
@@ -281,8 +281,8 @@
   return !lc_flow_view_is_gone (a->view, &known, f->revision);
 }
 
-/* The owner that this home knows may have ended the flow and the word been lost: it is asked.  It
- * answers the claimant with a refusal, or this home that the flow ended. */
+/* Queries the registered owner about a competing claim: it may have ended the flow and the message
+ * been lost.  It sends the claimant a refusal, or this home that the flow ended. */
 static void
 lc_flow_pointers__contest (LcFlowAgent *a, const LcFlow *f, const LcCandidate *claimant)
 {
@@ -329,26 +329,26 @@
   const LcCandidate *claimant = &m->load.agent;
   uint64_t hash = lc_flow_key_hash (&entry->key);
   LcFlow *f = lc_flow_table_find (&a->table, &entry->key, hash);
-  bool stands = f != NULL && lc_flow_pointers__stands (a, f, entry, claimant);
+  bool is_refused = f != NULL && lc_flow_pointers__stands (a, f, entry, claimant);
   LcFlowEntry *ack;
 
-  if (stands && f->kind == LC_FLOW_POINTER)
+  if (is_refused && f->kind == LC_FLOW_POINTER)
     {
       lc_flow_pointers__contest (a, f, claimant);
-      return; /* the claimant asks again */
+      return; /* the claimant retries */
     }
   if (f == NULL)
     f = lc_flow_table_add (&a->table, &entry->key, hash);
   if (f == NULL)
     return;
-  if (!stands)
+  if (!is_refused)
     {
       lc_flow_pointers__put (a, f, claimant, m->load.revision, now_us);
       f->epoch = entry->epoch;
     }
   ack = lc_flow_pointers_entry (a, LC_FLOW_POINTERS_ACK, claimant);
   ack->key = entry->key;
-  ack->is_refused = stands;
+  ack->is_refused = is_refused;
 }
 
 bool
@@ -409,7 +409,7 @@
 
 /* === public: hand-over ====================================================================== */
 
-/* Who delivers a leaving agent's flow from now on: the first of its homes that stays. */
+/* The agent that takes over a leaving agent's flow: its first home other than this agent. */
 static bool
 lc_flow_pointers__adopter (const LcFlowAgent *a, const LcFlow *f, LcCandidate *out)
 {
@@ -429,7 +429,7 @@
   return false;
 }
 
-/* The newer process of the endpoint whose backend server has an adopted flow. */
+/* The newer process of the endpoint whose backend server holds an adopted flow. */
 static bool
 lc_flow_pointers__returned (const LcFlowAgent *a, const LcFlow *f, LcCandidate *out)
 {
@@ -441,8 +441,8 @@
   return true;
 }
 
-/* Whom to offer a flow.  An offer stands until it is acknowledged or its agent is gone: two agents
- * that adopt one flow would each refuse the other's claim. */
+/* Chooses the agent to offer a flow to.  An offer stays with one agent until it is acknowledged or
+ * that agent is gone: two agents that adopt one flow would each refuse the other's claim. */
 static bool
 lc_flow_pointers__choose_heir (const LcFlowAgent *a, const LcFlow *f, LcCandidate *to)
 {
@@ -456,8 +456,8 @@
       *to = (LcCandidate){ e->id, e->ipv4, e->instance, e->flow_port };
       return true;
     }
-  /* An adopted flow moves on only when its homes know this agent: they take a claim from the
-   * owner that they know. */
+  /* An adopted flow moves on only after it is registered here: homes accept a claim only from the
+   * owner that they have. */
   if (is_adopted && (f->flags & LC_FLOW_QUEUED) != 0)
     return false;
   if (is_adopted && lc_flow_pointers__returned (a, f, to))
@@ -517,7 +517,7 @@
   bool is_own = entry->backend_id == a->desc.self.id;
 
   if (f != NULL && f->kind == LC_FLOW_OWNED)
-    return; /* repeated */
+    return; /* a resent offer */
   if (f == NULL)
     f = lc_flow_table_add (&a->table, &entry->key, hash);
   if (f == NULL)
--- a/src/core/flow/lc-flow-return.c
+++ b/src/core/flow/lc-flow-return.c
@@ -8,12 +8,12 @@
 
 enum
 {
-  LC_FLOW_COPY_MS = 200,        /* after which a caller sends a first packet again */
-  LC_FLOW_SECOND_COPY_MS = 600, /* and once more */
-  LC_FLOW_RETURN_HOPS = 16,     /* hops that a returned first packet costs: four endpoints see it */
+  LC_FLOW_COPY_MS = 200,        /* until a caller first retransmits a first packet */
+  LC_FLOW_SECOND_COPY_MS = 600, /* and until the second time */
+  LC_FLOW_RETURN_HOPS = 16,     /* charged for a returned first packet: four endpoints get it */
 };
 
-/* === private: answers ======================================================================= */
+/* === private: actions ======================================================================= */
 
 static LcFlowAction
 lc_flow_return__try (uint32_t mark)
@@ -21,9 +21,8 @@
   return (LcFlowAction){ .kind = LC_FLOW_ACTION_TRY, .try_mark = mark };
 }
 
-/* Nobody can take the flow: the drop, counted already, becomes a reset where that is true.  Only a
- * first packet that was not sent before may be answered so: an earlier copy may have opened the
- * flow meanwhile. */
+/* Turns the drop (already counted) of a flow that no endpoint can take into a reset.  Only for a
+ * first packet that was not retransmitted: an earlier copy may have opened the flow meanwhile. */
 static LcFlowAction
 lc_flow_return__fail (LcFlowAction drop, const LcPacket *packet)
 {
@@ -38,7 +37,7 @@
   return (uint32_t)(now_us / LC_US_PER_MS);
 }
 
-/* How long ago the caller sent the first of these first packets, at least. */
+/* Minimum time since the caller sent the first copy of this first packet. */
 static uint32_t
 lc_flow_return__age_ms (const LcPacket *packet)
 {
@@ -47,19 +46,18 @@
   return AGES_MS[MIN (packet->n_copies, (uint32_t)G_N_ELEMENTS (AGES_MS) - 1)];
 }
 
-/* How long its caller has waited already for what it opens a flow for, as far as anybody can tell.
- */
+/* Estimate of how long the caller has already waited for the request of this new flow. */
 static uint32_t
 lc_flow_return__waited_ms (LcFlowAgent *a, const LcPacket *packet, int64_t now_us)
 {
   uint32_t age_ms = lc_flow_return__age_ms (packet);
 
-  if (lc_flow_returners_take (&a->returners, packet->key.source_ipv4, now_us))
+  if (lc_flow_returners_take (&a->reconnects, packet->key.source_ipv4, now_us))
     age_ms = MAX (age_ms, (uint32_t)LC_FLOW_COPY_MS);
   return age_ms;
 }
 
-/* A first packet remembers the hops that it has left while the backend server looks at it. */
+/* Sets the mark: the remaining hops of a first packet, which come back if it is returned. */
 static LcFlowAction
 lc_flow_return__marked (LcFlowAgent *a,
                         LcFlowAction action,
@@ -92,7 +90,7 @@
   return lc_flow_return__marked (a, action, e, packet, now_us);
 }
 
-/* Takes the flow if it may, else sends the packet back to the assigner. */
+/* Accepts the flow, or sends the packet back to the assigner with the reason. */
 static LcFlowAction
 lc_flow_return__open (
     LcFlowAgent *a, LcEnvelope *e, LcFlow *f, const LcPacket *packet, int64_t now_us)
@@ -111,7 +109,7 @@
   return lc_flow_return__marked (a, lc_flow_agent__take (a, f, packet, now_us), e, packet, now_us);
 }
 
-/* === private: requests at work ============================================================== */
+/* === private: requests in work ============================================================== */
 
 static bool
 lc_flow_return__has_data (const LcPacket *packet)
@@ -119,8 +117,8 @@
   return packet->total_len > packet->payload_start;
 }
 
-/* Whether the packet brings data that the caller has not sent before.  A copy of a request that was
- * answered meanwhile is none: it would count as at work and never be answered. */
+/* Whether the packet has new data of the caller.  A retransmission of a request that was answered
+ * meanwhile must not count as in work: it would never be answered. */
 static bool
 lc_flow_return__is_news (LcFlow *f, const LcPacket *packet)
 {
@@ -132,7 +130,7 @@
   return true;
 }
 
-/* When the caller began to wait: for the first request of a flow, before it opened the flow. */
+/* When the caller began to wait; for the first request of a flow, before it opened the flow. */
 static int64_t
 lc_flow_return__began_us (LcFlow *f, int64_t now_us)
 {
@@ -142,7 +140,7 @@
   return now_us - (int64_t)age_ms * LC_US_PER_MS;
 }
 
-/* A packet for the backend server here: whether it must wait beside it. */
+/* Whether a packet for the own backend server has to be queued for a free slot. */
 static bool
 lc_flow_return__must_wait (LcFlowAgent *a, LcFlow *f, const LcPacket *packet, int64_t now_us)
 {
@@ -168,7 +166,7 @@
 
 /* === private: owned flows =================================================================== */
 
-/* A packet that did not come by the first home: that home has forgotten the owner. */
+/* Registers the flow again if a packet came by a detour: its first home has lost the owner. */
 static void
 lc_flow_return__remind_homes (LcFlowAgent *a, LcFlow *f, const LcEnvelope *e)
 {
@@ -184,8 +182,8 @@
     lc_flow_pointers_start (a, f);
 }
 
-/* A copy of a first packet, and the backend server has not answered the one before: it does not
- * live, or is very slow.  The copy goes to another. */
+/* Whether this first packet is a retransmission that the backend server left unanswered: it is dead
+ * or very slow, and the packet goes to another endpoint. */
 static bool
 lc_flow_return__is_unanswered (const LcFlow *f, const LcPacket *packet)
 {
@@ -193,7 +191,7 @@
          (f->flags & LC_FLOW_ANSWERED) == 0;
 }
 
-/* A first packet on a flow that has ended here opens a new one, as any other. */
+/* Whether a first packet opens an ended flow anew. */
 static bool
 lc_flow_return__opens_again (const LcFlow *f, const LcPacket *packet)
 {
@@ -221,7 +219,7 @@
   lc_flow_table_remove (&a->table, f);
 }
 
-/* A first packet that is not for this endpoint: to another one, chosen here. */
+/* Assigns a first packet to another endpoint than this one. */
 static LcFlowAction
 lc_flow_return__give_on (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
 {
@@ -231,7 +229,7 @@
   return lc_flow_return__assign (a, e, NULL, packet, now_us);
 }
 
-/* === private: a packet on its way through the homes ========================================= */
+/* === private: walk through the homes ======================================================== */
 
 static LcFlowAction
 lc_flow_return__walk (
@@ -239,7 +237,7 @@
 {
   LcSteerKnown known = lc_flow_agent__known (a, f);
 
-  /* A copy that comes while the owner has not registered the flow: it may never have got it. */
+  /* A retransmission before the owner has registered the flow: the owner may never have got it. */
   if (packet->may_open && packet->n_copies > 0 && known.kind == LC_FLOW_POINTER &&
       !known.is_confirmed)
     {
@@ -258,7 +256,7 @@
   return lc_flow_agent__send (a, e, LC_MODE_WALK, &e->candidates[e->hop]);
 }
 
-/* Another agent has sent the packet here to be searched for; an earlier search may have found its
+/* Handles a packet that another agent sent here for a search; an earlier search may have found the
  * owner. */
 static LcFlowAction
 lc_flow_return__find (
@@ -323,7 +321,7 @@
     case LC_MODE_SEARCH:
       if (packet->may_open)
         return lc_flow_agent__drop (a, LC_DROP_NO_OWNER);
-      lc_flow_returners_lost (&a->returners, packet->key.source_ipv4, now_us);
+      lc_flow_returners_lost (&a->reconnects, packet->key.source_ipv4, now_us);
       return lc_flow_return__try (e->candidates[0].id);
     }
   return lc_flow_agent__drop (a, LC_DROP_MALFORMED);
@@ -343,14 +341,14 @@
   e->target_instance = to->instance;
 }
 
-/* The backend server returned a first packet.  With requests at work it is full; with none it is
- * not there, and looks like the one with the least to do: beside 22 of 163 that were gone first
- * packets went round until they had no hops left, 261 lines of them in 0.75 s after a return of
- * all.  One that was asked on trust is not asked again before it has reported itself. */
+/* Records that the backend server returned a first packet.  With requests in work it is full; with
+ * none it is absent, which looks like the least loaded one and counts as a failure: with 22 of 163
+ * absent after a restart of all, first packets were forwarded until they had no hops left, 261
+ * log lines in 0.75 s.  An unconfirmed backend server gets no new flow before it reports. */
 static void
 lc_flow_return__note_refused (LcFlowAgent *a, int64_t now_us)
 {
-  a->has_refused = a->backend == LC_FLOW_BACKEND_ASKED;
+  a->has_returned_first = a->backend == LC_FLOW_BACKEND_ASKED;
   if (lc_flow_gate_n_working (&a->gate) == 0)
     lc_flow_agent__note_failure (a, now_us);
 }
@@ -386,7 +384,7 @@
   return key;
 }
 
-/* What the packet answers, before the flow remembers that it was answered. */
+/* Classifies a response; call it before LC_FLOW_ANSWERED is set. */
 static LcFlowAnswer
 lc_flow_return__answer (const LcFlow *f, const LcPacket *packet, int64_t now_us)
 {
@@ -402,7 +400,7 @@
   return answer;
 }
 
-/* What the backend server does with a request that it was given. */
+/* Records the outcome of a request for the outlier detection. */
 static void
 lc_flow_return__judge (LcFlowAgent *a, const LcFlow *f, const LcPacket *packet, int64_t now_us)
 {
@@ -428,7 +426,7 @@
   a->arrival_dc = 0;
   if (f != NULL && f->kind == LC_FLOW_OWNED)
     (void)lc_flow_agent__deliver (a, f, &of_caller, false, now_us);
-  else if (!packet->is_reset) /* a reset answers what the backend server does not hold any more */
+  else if (!packet->is_reset) /* a reset is for a flow that it no longer holds */
     (void)lc_flow_agent__take (a, f, &of_caller, now_us);
   f = lc_flow_table_find (&a->table, &of_caller.key, lc_flow_key_hash (&of_caller.key));
   if (f == NULL || f->kind != LC_FLOW_OWNED)
--- a/src/core/flow/lc-flow-return.h
+++ b/src/core/flow/lc-flow-return.h
@@ -1,25 +1,25 @@
-/* lc-flow-return: steering for services whose backend servers return what they do not hold.
+/* lc-flow-return: steering for services whose backend servers return packets of unknown flows.
  *
  * WHAT IT IS
- *   Where a backend server hands back each packet of a flow that it does not hold, it is the truth
- *   about its flows, and the tables of agents are only a fast way to it.  So nothing has to be
- *   settled before a flow may be assigned, and an agent that knows nothing, for example after a
- *   restart, can ask:
+ *   If a backend server returns each packet of a flow that it does not hold, it is the authority on
+ *   its flows, and the agents' tables are a cache.  So nothing has to settle before a flow may be
+ *   assigned, and an agent without state, for example after a restart, can find the owner:
  *     - a first packet is assigned by the first home that it reaches;
- *     - another packet goes to the owner that a home knows; if no home knows one, the owner is
- *       searched for (lc-flow-finder.h);
- *     - what is returned loses its entry here and is searched for, or assigned to another endpoint;
- *     - when a search has accounted for every backend server, the caller is told by a reset: it
- * need not wait for what will never come;
- *     - an answer of the backend server proves that it holds the flow: the agent then owns it and
+ *     - another packet goes to the owner that a home has; if no home has one, the owner is searched
+ *       for (lc-flow-finder.h);
+ *     - a returned packet loses its entry here and is searched for, or assigned to another
+ *       endpoint;
+ *     - when a search has accounted for every backend server without finding an owner, the caller
+ *       gets a reset, so that it does not wait for its time limit;
+ *     - a response of the backend server proves that it holds the flow: the agent then owns it and
  *       registers it with the homes.
- *   Two endpoints that both accept copies of a first packet do no harm: the caller goes on with
- * one, and the other returns what the first one's caller sends.
+ *   Two endpoints that both accept copies of a first packet do no harm: the caller goes on with one
+ *   of them, and the other one returns the caller's packets.
  *
  * HOW TO USE IT
  *   Through lc_flow_agent_packet when desc.is_returning is set, and
  *     action = lc_flow_return_returned (&agent, &envelope, &packet, now_us);
- *     lc_flow_return_answered (&agent, &packet, now_us);
+ *     answer = lc_flow_return_answered (&agent, &packet, now_us);
  *     while (lc_flow_return_next_held (&agent, &held, now_us))
  *       give the packets held for held.flow to the backend server, or drop them
  *     while (lc_flow_return_next_reset (&agent, &packet))
@@ -35,8 +35,8 @@
 {
 #endif
 
-  /* Marks of packets that are not first ones (LcPacket.mark): 0, or the endpoint whose agent
-   * searches for the flow's owner.  When such a packet is returned, that agent is told. */
+  /* LcPacket.mark of packets that are not first ones: 0, or the endpoint id of the searcher, which
+   * is notified when the packet is returned. */
   enum
   {
     LC_FLOW_MARK_NONE = 0,
@@ -47,22 +47,22 @@
                                       LcEnvelope *envelope,
                                       const LcPacket *packet,
                                       int64_t now_us);
-  /* The backend server returned a packet; `envelope` is filled when the action sends it on. */
+  /* Handles a packet returned by the backend server; fills `envelope` if the action forwards it. */
   LcFlowAction lc_flow_return_returned (LcFlowAgent *agent,
                                         LcEnvelope *envelope,
                                         const LcPacket *packet,
                                         int64_t now_us);
-  /* The backend server sent this packet to a caller (its key goes from the service to the caller):
-   * the flow is its own from now on.  Returns what the packet answers. */
+  /* Handles a packet from the backend server to a caller (its key has the service as the source):
+   * the agent owns the flow from now on.  Returns what the packet responds to. */
   LcFlowAnswer lc_flow_return_answered (LcFlowAgent *agent, const LcPacket *packet, int64_t now_us);
-  /* The key of the flow that a packet of the backend server belongs to: the caller's own. */
+  /* The flow's key, caller to service, from a packet of the backend server. */
   LcFlowKey lc_flow_return_key (const LcPacket *packet);
-  /* What becomes of packets that LC_FLOW_ACTION_HOLD kept, after each packet and each tick; false:
-   * nothing now. */
+  /* Next decision on packets that LC_FLOW_ACTION_HOLD queued; call it after each packet and tick
+   * until it returns false. */
   bool lc_flow_return_next_held (LcFlowAgent *agent, LcFlowHeld *held, int64_t now_us);
-  /* Packets of flows that nobody holds; false: none is left. */
+  /* Next packet of a flow that no backend server holds; false: none is left. */
   bool lc_flow_return_next_reset (LcFlowAgent *agent, LcPacket *packet);
-  /* The envelope of a search that this agent begins. */
+  /* Fills the envelope for a packet of a search by this agent. */
   void
   lc_flow_return_search (const LcFlowAgent *agent, const LcCandidate *to, LcEnvelope *envelope);
 
--- a/src/core/flow/lc-flow-returners.c
+++ b/src/core/flow/lc-flow-returners.c
@@ -11,7 +11,7 @@
 bool
 lc_flow_returners_take (LcFlowReturners *r, uint32_t ipv4, int64_t now_us)
 {
-  /* The newest first: what is older than the time is behind it. */
+  /* Newest first: all entries after one that has expired have expired, too. */
   for (uint32_t k = 1; k <= LC_FLOW_RETURNERS_MAX; k++)
     {
       uint32_t i = (r->next + LC_FLOW_RETURNERS_MAX - k) % LC_FLOW_RETURNERS_MAX;
--- a/src/core/flow/lc-flow-search.c
+++ b/src/core/flow/lc-flow-search.c
@@ -4,8 +4,8 @@
 
 enum
 {
-  LC_FLOW_SEARCH_WAYS = 8,  /* places that a flow's search may have */
-  LC_FLOW_SEARCH_WORD = 64, /* members in a word of LcFlowMemberSet */
+  LC_FLOW_SEARCH_WAYS = 8,  /* slots that a flow's search may use */
+  LC_FLOW_SEARCH_WORD = 64, /* bits in a word of LcFlowMemberSet */
 };
 
 /* === private: sets of members =============================================================== */
@@ -28,7 +28,7 @@
   return MIN (s->n_members, (uint32_t)LC_FLOW_SEARCH_MEMBERS);
 }
 
-/* The member's place; -1: it is none, or is at another address. */
+/* The member's index; -1: not a member, or at another address. */
 static int
 lc_flow_search__place (const LcFlowSearches *s, const LcFlowSearchMember *member)
 {
@@ -50,8 +50,7 @@
              : -1;
 }
 
-/* The same members at their places in the present list; those that are there no more are left out.
- */
+/* Maps a set to the indexes of the current list, without members that are no longer in it. */
 static LcFlowMemberSet
 lc_flow_search__moved (const LcFlowSearches *s,
                        const LcFlowMemberSet *set,
@@ -128,19 +127,20 @@
 {
   if (!search->is_used)
     return;
-  s->n_unasked -= search->round == 0;
+  s->n_unqueried -= search->round == 0;
   s->n_used--;
   search->is_used = false;
 }
 
-/* An endpoint of a newer set, which is not known here, may hold the flow. */
+/* Ends the search as lost if all members are ruled out.  If an answer had a newer roster, an
+ * endpoint that is unknown here may hold the flow. */
 static void
 lc_flow_search__end_if_lost (LcFlowSearches *s, LcFlowSearch *search)
 {
-  if (!search->is_used || search->newest > s->membership ||
-      !lc_flow_search__has_all (s, &search->cleared))
+  if (!search->is_used || search->newest_roster > s->membership ||
+      !lc_flow_search__has_all (s, &search->ruled_out))
     return;
-  g_array_append_val (s->lost, search->packet);
+  g_array_append_val (s->unowned, search->packet);
   lc_flow_search__end (s, search);
 }
 
@@ -155,7 +155,7 @@
   return NULL;
 }
 
-/* A round ends when every member has spoken, or its searches have. */
+/* Ends the rounds that every member has answered or whose searches have timed out. */
 static void
 lc_flow_search__end_rounds (LcFlowSearches *s, int64_t now_us)
 {
@@ -173,7 +173,7 @@
 lc_flow_search__note_silent (LcFlowSearches *s, const LcFlowSearch *search)
 {
   for (uint32_t i = 0; i < lc_flow_search__n_listed (s); i++)
-    if (!lc_flow_search__has (&search->cleared, i))
+    if (!lc_flow_search__has (&search->ruled_out, i))
       {
         s->expired_total++;
         s->silent = s->members[i];
@@ -216,7 +216,7 @@
       if (!search->is_used || search->round != 0)
         continue;
       search->round = round->id;
-      s->n_unasked--;
+      s->n_unqueried--;
       round->keys[round->n++] = search->packet.key;
     }
 }
@@ -229,7 +229,7 @@
   memset (s, 0, sizeof *s);
   s->last_round = (uint32_t)now_us;
   s->round_us = now_us - LC_FLOW_ROUND_US;
-  s->lost = g_array_new (FALSE, FALSE, sizeof (LcPacket));
+  s->unowned = g_array_new (FALSE, FALSE, sizeof (LcPacket));
 }
 
 void
@@ -238,7 +238,7 @@
   g_free (s->members);
   g_free (s->slots);
   g_free (s->rounds);
-  g_array_unref (s->lost);
+  g_array_unref (s->unowned);
   memset (s, 0, sizeof *s);
 }
 
@@ -277,9 +277,9 @@
 
       if (!search->is_used)
         continue;
-      search->cleared = lc_flow_search__moved (s, &search->cleared, before, n_before);
+      search->ruled_out = lc_flow_search__moved (s, &search->ruled_out, before, n_before);
       search->tried = lc_flow_search__moved (s, &search->tried, before, n_before);
-      search->doubted = lc_flow_search__moved (s, &search->doubted, before, n_before);
+      search->unsure = lc_flow_search__moved (s, &search->unsure, before, n_before);
       lc_flow_search__end_if_lost (s, search);
     }
   g_free (before);
@@ -304,16 +304,17 @@
   search->is_used = true;
   search->packet = *packet;
   search->started_us = now_us;
-  s->n_unasked++;
+  s->n_unqueried++;
   s->n_used++;
   return search;
 }
 
-/* Gives the packet to the next of those members that may have it and are not in `spared`. */
+/* Chooses up to LC_FLOW_SEARCH_MAX members that may get the packet, have not had it and are not in
+ * `excluded`; adds them to `tried`. */
 static uint32_t
 lc_flow_search__pick (const LcFlowSearches *s,
                       LcFlowSearch *search,
-                      const LcFlowMemberSet *spared,
+                      const LcFlowMemberSet *excluded,
                       bool (*may_try) (void *user, LcEndpointId id),
                       void *user,
                       LcEndpointId out[LC_FLOW_SEARCH_MAX])
@@ -326,8 +327,8 @@
     {
       uint32_t i = (uint32_t)((first + k) % n_listed);
 
-      if (lc_flow_search__has (spared, i) || lc_flow_search__has (&search->tried, i) ||
-          (!lc_flow_search__has (&search->doubted, i) && !may_try (user, s->members[i].id)))
+      if (lc_flow_search__has (excluded, i) || lc_flow_search__has (&search->tried, i) ||
+          (!lc_flow_search__has (&search->unsure, i) && !may_try (user, s->members[i].id)))
         continue;
       lc_flow_search__add (&search->tried, i);
       out[n++] = s->members[i].id;
@@ -347,7 +348,7 @@
   uint32_t n = 0;
 
   if (turn != LC_FLOW_SEARCH_ALL)
-    n = lc_flow_search__pick (s, search, &search->cleared, may_try, user, out);
+    n = lc_flow_search__pick (s, search, &search->ruled_out, may_try, user, out);
   if (n > 0 || turn == LC_FLOW_SEARCH_NEXT)
     return n;
   memset (&search->tried, 0, sizeof search->tried);
@@ -380,8 +381,8 @@
 
   if (search == NULL || place < 0 || !lc_flow_search__is_running (search, now_us))
     return;
-  lc_flow_search__add (&search->cleared, (uint32_t)place);
-  search->newest = MAX (search->newest, membership);
+  lc_flow_search__add (&search->ruled_out, (uint32_t)place);
+  search->newest_roster = MAX (search->newest_roster, membership);
   lc_flow_search__end_if_lost (s, search);
 }
 
@@ -392,7 +393,7 @@
   int place = lc_flow_search__place (s, member);
 
   if (search != NULL && place >= 0)
-    lc_flow_search__add (&search->doubted, (uint32_t)place);
+    lc_flow_search__add (&search->unsure, (uint32_t)place);
 }
 
 bool
@@ -431,7 +432,7 @@
           return round;
         }
     }
-  if (s->n_unasked == 0 || now_us - s->round_us < LC_FLOW_ROUND_US)
+  if (s->n_unqueried == 0 || now_us - s->round_us < LC_FLOW_ROUND_US)
     return NULL;
   round = lc_flow_search__free_round (s);
   if (round == NULL)
@@ -480,7 +481,7 @@
     {
       LcFlowSearch *search = lc_flow_search__find (s, &round->keys[i]);
 
-      if (search != NULL && !lc_flow_search__has (&search->doubted, (uint32_t)place))
+      if (search != NULL && !lc_flow_search__has (&search->unsure, (uint32_t)place))
         lc_flow_search_clear (s, &round->keys[i], member, membership, now_us);
     }
 }
@@ -498,9 +499,9 @@
 bool
 lc_flow_search_next_lost (LcFlowSearches *s, LcPacket *packet)
 {
-  if (s->lost->len == 0)
+  if (s->unowned->len == 0)
     return false;
-  *packet = g_array_index (s->lost, LcPacket, s->lost->len - 1);
-  g_array_set_size (s->lost, s->lost->len - 1);
+  *packet = g_array_index (s->unowned, LcPacket, s->unowned->len - 1);
+  g_array_set_size (s->unowned, s->unowned->len - 1);
   return true;
 }
