--- a/tests/flow/prop-flow-return.cc
+++ b/tests/flow/prop-flow-return.cc
@@ -1,6 +1,6 @@
-/* Event orders of steering where backend servers return what they do not hold, searched by
- * RapidCheck: agents restart, endpoints join, leave and are lost, and views lag behind each other.
- */
+/* Property tests of steering with backend servers that return packets: RapidCheck generates orders
+ * of events (agents restart, endpoints join, leave and are lost, views lag), after which each held
+ * flow must be reached. */
 #include "prop-steps.hh"
 #include "return-world.h"
 
@@ -19,18 +19,18 @@
   JOIN,
   LEAVE,
   LOSE,
-  FIND,
+  RECOVER,
   SHOW_AGENT,
   SHOW_BALANCER,
   SETTLE,
   N_KINDS
 };
 
-/* A service large enough for its owners to be asked for in rounds. */
-const int N_ROUNDS = 40;
-const int N_COPIES = 5; /* of a packet: 0, 0.2, 0.6, 1.4 and 3 s after the first */
+/* Endpoints of a service that is large enough for searches in rounds. */
+const int N_LARGE = 40;
+const int N_COPIES = 5; /* of a packet, sent at 0, 0.2, 0.6, 1.4 and 3 s */
 
-/* So few that events often meet at one. */
+/* Few, so that several events often concern the same flow. */
 const uint32_t FEW_FLOWS = 3;
 
 uint32_t
@@ -43,8 +43,8 @@
   return n;
 }
 
-/* A packet of a flow that a backend server holds reaches it, whatever anybody knows.  Copies of a
- * first packet may have been accepted twice: then it reaches at least one that holds it. */
+/* Asserts that a packet of a held flow reaches a backend server that holds it, whatever state
+ * agents have lost.  Several may hold it, if copies of its first packet were accepted twice. */
 void
 send_data (RwWorld &w, uint32_t flow)
 {
@@ -57,7 +57,7 @@
     RC_ASSERT (delivered (w) > before);
 }
 
-/* The same where the owner is asked for: one of the packet's copies reaches it. */
+/* The same for searches in rounds: one of the packet's copies reaches the owner. */
 void
 send_copies (RwWorld &w, uint32_t flow)
 {
@@ -77,11 +77,11 @@
     RC_ASSERT (delivered (w) > before);
 }
 
-/* A large service is asked in rounds, for which copies and time are needed. */
+/* A search in rounds takes copies of the packet and time. */
 void
-ask (RwWorld &w, uint32_t flow)
+check_reached (RwWorld &w, uint32_t flow)
 {
-  if (w.n_agents > N_ROUNDS)
+  if (w.n_agents > N_LARGE)
     send_copies (w, flow);
   else
     send_data (w, flow);
@@ -108,7 +108,7 @@
       open_flow (w, flow);
       break;
     case DATA:
-      ask (w, flow);
+      check_reached (w, flow);
       break;
     case RESTART:
       rw_restart_agent (&w, node);
@@ -122,7 +122,7 @@
     case LOSE:
       rw_put_endpoint (&w, node, LC_ENDPOINT_LOST);
       break;
-    case FIND:
+    case RECOVER:
       rw_put_endpoint (&w, node, LC_ENDPOINT_ACTIVE);
       rw_show_view (&w);
       break;
@@ -138,19 +138,19 @@
     }
 }
 
-/* Carries out all steps, then every flow that is still held must be reached. */
+/* Carries out all steps, then asserts that every flow that is still held is reached. */
 void
 check_order (RwWorld &w, const std::vector<Step> &order)
 {
   for (const Step &s : order)
     {
       carry_out (w, s);
-      (void)rw_take_resets (&w); /* asserts that nobody holds the flow of a reset */
+      (void)rw_take_resets (&w); /* asserts that no backend server holds their flows */
     }
   rw_show_view (&w);
   rw_settle (&w);
   for (uint32_t f = 0; f < FEW_FLOWS; f++)
-    ask (w, f);
+    check_reached (w, f);
   RC_ASSERT (rw_take_resets (&w) == 0U);
 }
 
@@ -161,7 +161,7 @@
 {
   bool ok = true;
 
-  ok &= rc::check ("a held flow is found, and never reset, whatever happened", [] {
+  ok &= rc::check ("a held flow is reached and never reset, after any order of events", [] {
     const auto order = *steps (N_KINDS);
     RwWorld w;
 
@@ -169,11 +169,11 @@
     check_order (w, order);
     rw_stop (&w);
   });
-  ok &= rc::check ("so it is in a large service, where owners are asked for in rounds", [] {
+  ok &= rc::check ("the same in a large service, where searches query agents in rounds", [] {
     const auto order = *steps (N_KINDS);
     RwWorld w;
 
-    rw_start_sized (&w, N_ROUNDS, N_ROUNDS + 5, true);
+    rw_start_sized (&w, N_LARGE, N_LARGE + 5, true);
     w.idle_us = 20 * LC_US_PER_S;
     check_order (w, order);
     rw_stop (&w);
--- a/tests/flow/return-world.c
+++ b/tests/flow/return-world.c
@@ -159,7 +159,6 @@
   lc_flow_agent_set_view (&w->nodes[i].agent, rw_seen (w, i), w->now_us);
 }
 
-/* The process beside the backend server starts again; what that one holds stays. */
 void
 rw_restart_agent (RwWorld *w, int i)
 {
@@ -231,7 +230,7 @@
 /* === packets ================================================================================ */
 
 static void
-rw_act (RwWorld *w, int at, LcFlowAction *action, const LcEnvelope *e, const LcPacket *p);
+rw_carry_out (RwWorld *w, int at, LcFlowAction *action, const LcEnvelope *e, const LcPacket *p);
 
 static void
 rw_answer (RwWorld *w, int at, const LcPacket *p)
@@ -278,7 +277,7 @@
       back.is_returned = true;
       back.mark = mark;
       action = lc_flow_return_returned (&n->agent, &e, &back, w->now_us);
-      rw_act (w, at, &action, &e, p);
+      rw_carry_out (w, at, &action, &e, p);
       return;
     }
   rw_answer (w, at, p);
@@ -293,7 +292,7 @@
   if (!w->nodes[at].is_up)
     return;
   action = lc_flow_agent_packet (&w->nodes[at].agent, &e, p, w->now_us);
-  rw_act (w, at, &action, &e, p);
+  rw_carry_out (w, at, &action, &e, p);
 }
 
 static void
@@ -327,7 +326,7 @@
 }
 
 static void
-rw_act (RwWorld *w, int at, LcFlowAction *action, const LcEnvelope *e, const LcPacket *p)
+rw_carry_out (RwWorld *w, int at, LcFlowAction *action, const LcEnvelope *e, const LcPacket *p)
 {
   switch (action->kind)
     {
@@ -346,16 +345,16 @@
     case LC_FLOW_ACTION_RESET:
       w->n_resets++;
       break;
-    case LC_FLOW_ACTION_HOLD: /* these backend servers have free slots always */
+    case LC_FLOW_ACTION_HOLD: /* these backend servers always have free slots */
       g_assert_not_reached ();
     case LC_FLOW_ACTION_DROP:
       break;
     }
 }
 
-/* Agents' messages, and packets of searches, until there are none. */
+/* Delivers messages and packets of searches until there are none. */
 static void
-rw_talk (RwWorld *w)
+rw_deliver_messages (RwWorld *w)
 {
   LcFlowMessage m;
   bool has_sent = true;
@@ -387,7 +386,7 @@
   for (int i = 0; i < w->n_agents; i++)
     if (w->nodes[i].is_up)
       lc_flow_agent_tick (&w->nodes[i].agent, w->now_us);
-  rw_talk (w);
+  rw_deliver_messages (w);
 }
 
 void
@@ -436,7 +435,6 @@
   rw_settle (w);
 }
 
-/* Each flow's packets reach the one backend server that holds it. */
 void
 rw_check_all_reach (RwWorld *w, const char *what)
 {
--- a/tests/flow/test-flow-finder.c
+++ b/tests/flow/test-flow-finder.c
@@ -1,6 +1,6 @@
-/* Finding the owners of flows in services of hundreds and thousands of endpoints, when the homes
- * don't know them: what is held is reached and never reset, what nobody holds is told so, and the
- * messages for it don't grow with the flows. */
+/* Searches for flow owners in services of hundreds and thousands of endpoints, after the homes lost
+ * them: held flows are reached and never reset, lost flows are reset, and the number of messages
+ * does not grow with that of flows. */
 #include "return-world.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -10,16 +10,16 @@
 {
   N_SMALL = 163,
   N_LARGE = 2000,
-  N_COPIES = 4, /* of a packet within its first 1.4 s, the first included */
+  N_COPIES = 4, /* of a packet within 1.4 s, the first included */
 };
 
 typedef enum
 {
   NOTHING,
-  RESTART_HOMES,  /* every agent but the owners' */
-  RESTART_OWNERS, /* and no other */
+  RESTART_HOMES,  /* all agents but the owners */
+  RESTART_OWNERS, /* only these */
   RESTART_ALL,
-  STALE_OWNERS, /* endpoints join, and the owners' agents don't see them */
+  STALE_OWNERS, /* endpoints join, and the owners keep the old view */
   LOSE_MESSAGES,
 } Event;
 
@@ -29,13 +29,13 @@
   Event event;
   int n;
 } HELD[] = {
-  { "homes forgot", RESTART_HOMES, N_SMALL },
-  { "owners' agents started again", RESTART_OWNERS, N_SMALL },
-  { "all agents started again", RESTART_ALL, N_SMALL },
+  { "homes restarted", RESTART_HOMES, N_SMALL },
+  { "owners restarted", RESTART_OWNERS, N_SMALL },
+  { "all agents restarted", RESTART_ALL, N_SMALL },
   { "owners with an old view", STALE_OWNERS, N_SMALL },
-  { "homes forgot, messages lost", LOSE_MESSAGES, N_SMALL },
-  { "homes forgot, 2,000 endpoints", RESTART_HOMES, N_LARGE },
-  { "owners' agents started again, 2,000 endpoints", RESTART_OWNERS, N_LARGE },
+  { "homes restarted, messages lost", LOSE_MESSAGES, N_SMALL },
+  { "homes restarted, 2,000 endpoints", RESTART_HOMES, N_LARGE },
+  { "owners restarted, 2,000 endpoints", RESTART_OWNERS, N_LARGE },
 };
 
 static bool
@@ -57,7 +57,7 @@
 }
 
 static void
-happen (RwWorld *w, Event event)
+apply_event (RwWorld *w, Event event)
 {
   for (int i = 0; i < w->n_agents; i++)
     {
@@ -86,7 +86,7 @@
   return n;
 }
 
-/* The time between a packet and its next copy, tick by tick. */
+/* Advances the time to the packet's next copy, tick by tick. */
 static void
 pass_until_copy (RwWorld *w, int copy)
 {
@@ -94,7 +94,7 @@
     rw_pass (w, LC_FLOW_AGENT_TICK_US);
 }
 
-/* Sends copies of the flow's packet until the backend server that holds it has one. */
+/* Sends copies of a packet until the backend server that holds its flow gets one. */
 static bool
 is_reached (RwWorld *w, uint32_t flow)
 {
@@ -109,6 +109,7 @@
   return n_delivered (w) > before;
 }
 
+/* Flows must not be reset or lose their way when agents restart, views lag or messages get lost. */
 START_TEST (test_held_flows_are_reached)
 {
   int n_more = HELD[_i].event == STALE_OWNERS ? 30 : 0;
@@ -117,40 +118,42 @@
   rw_start_sized (&w, HELD[_i].n, HELD[_i].n + n_more, true);
   w.idle_us = 20 * LC_US_PER_S;
   rw_open_flows (&w);
-  happen (&w, HELD[_i].event);
+  apply_event (&w, HELD[_i].event);
   for (uint32_t f = 0; f < RW_N_FLOWS; f++)
     {
       ck_assert_msg (rw_n_held (&w, f) == 1, "%s: flow %u", HELD[_i].what, f);
       ck_assert_msg (is_reached (&w, f), "%s: flow %u is not reached", HELD[_i].what, f);
     }
   ck_assert_msg (rw_take_resets (&w) == 0, "%s", HELD[_i].what);
-  /* One more packet of each, and the way is known again. */
+  /* With one more packet of each, the homes have the owners again. */
   w.lose_each = 0;
   for (uint32_t f = 0; f < RW_N_FLOWS; f++)
     (void)is_reached (&w, f);
   w.n_searches = 0;
   rw_check_all_reach (&w, HELD[_i].what);
-  ck_assert_msg (w.n_searches == 0, "%s: %u searches when found", HELD[_i].what, w.n_searches);
+  ck_assert_msg (w.n_searches == 0, "%s: %u searches after registration", HELD[_i].what,
+                 w.n_searches);
   rw_stop (&w);
 }
 END_TEST
 
-/* After a loss of everything the callers come with flows that nobody holds, all at once. */
+/* Every caller must get a reset when all backend servers lost their flows at once, for a bounded
+ * number of messages. */
 static const struct
 {
   const char *what;
   int n;
-  int n_restarted; /* agents beside backend servers that went on */
+  int n_restarted; /* agents that restart while their backend servers run on */
   uint32_t lose_each;
-  uint64_t max_messages; /* for all flows together: rounds of 16 searchers, and the usual loads */
+  uint64_t max_messages; /* rounds of 16 searchers, and load reports */
 } LOST[] = {
-  { "all began anew", N_SMALL, 0, 0, 15000 },
+  { "all backend servers restarted", N_SMALL, 0, 0, 15000 },
   { "messages lost", N_SMALL, 0, 7, 30000 },
-  { "some agents started again", N_SMALL, 20, 0, 15000 },
+  { "some agents restarted", N_SMALL, 20, 0, 15000 },
   { "2,000 endpoints", N_LARGE, 0, 0, 180000 },
 };
 
-START_TEST (test_lost_flows_are_told)
+START_TEST (test_lost_flows_are_reset)
 {
   uint32_t n_resets = 0;
   uint64_t before;
@@ -181,9 +184,9 @@
 }
 END_TEST
 
-/* One endpoint is silent: nobody may say that it does not hold the flow, until it has been silent
- * for longer than a restart takes. */
-START_TEST (test_silent_endpoint_holds_the_answer_back)
+/* A silent endpoint may hold the flow: no reset before it has been silent for longer than a restart
+ * takes. */
+START_TEST (test_silent_endpoint_delays_resets)
 {
   uint32_t n_resets = 0;
   int64_t began_us;
@@ -193,7 +196,7 @@
   rw_settle (&w);
   w.nodes[77].is_up = false;
   began_us = w.now_us;
-  /* Copies come each 200 ms, as those of many callers do. */
+  /* A copy each 200 ms, as from many callers. */
   while (w.now_us - began_us < 5 * LC_US_PER_S)
     {
       for (uint32_t f = 0; f < RW_N_FLOWS; f++)
@@ -212,10 +215,10 @@
 }
 END_TEST
 
-/* Endpoints that are not there are asked whether they are, not for each flow that is looked for:
- * after a loss of all power searchers held tens of megabytes of questions to the endpoints that had
- * been replaced before, and asked those that were there too late.  Doubling the flows or the time
- * adds what those that answer are asked, and to the others ten questions a second each. */
+/* Guards against queries for every searched flow to endpoints that are gone: after a loss of all
+ * power searchers queued tens of megabytes of them to endpoints that had been replaced before, and
+ * queried the live ones too late.  Now a silent endpoint gets ten queries a second, and only the
+ * queries to those that answer grow with the flows and the time. */
 static const struct
 {
   const char *what;
@@ -229,7 +232,7 @@
   { "all but a few, 2 s", N_SMALL, N_SMALL - 10, 2 * LC_US_PER_S },
 };
 
-/* Has `searcher` look for flows that nobody holds, a new one at each tick; how many. */
+/* Has `searcher` search for a new lost flow at each tick; returns their number. */
 static uint32_t
 search_for_lost_flows (RwWorld *w, LcFlowAgent *searcher, int64_t for_us, uint32_t *most_at_once)
 {
@@ -250,38 +253,39 @@
 }
 
 static void
-set_up (RwWorld *w, int n_last, bool is_up)
+set_last_up (RwWorld *w, int n_last, bool is_up)
 {
   for (int i = 0; i < n_last; i++)
     w->nodes[w->n_agents - 1 - i].is_up = is_up;
 }
 
-START_TEST (test_silent_endpoints_are_asked_sparingly)
+START_TEST (test_queries_to_silent_endpoints_are_bounded)
 {
   uint64_t n_rounds = (uint64_t)(SILENT[_i].for_us / LC_FLOW_ROUND_US) + 1;
   uint64_t n_retries = (uint64_t)(SILENT[_i].for_us / LC_FLOW_ROUND_RETRY_US) + 1;
   uint64_t n_silent = (uint64_t)SILENT[_i].n_silent;
-  uint64_t max_asked = ((uint64_t)SILENT[_i].n - n_silent) * n_rounds + n_silent * n_retries;
+  uint64_t max_queries = ((uint64_t)SILENT[_i].n - n_silent) * n_rounds + n_silent * n_retries;
   uint32_t most_at_once = 0;
   LcFlowAgent *searcher;
   RwWorld w;
 
   rw_start_sized (&w, SILENT[_i].n, SILENT[_i].n, true);
   rw_settle (&w);
-  set_up (&w, SILENT[_i].n_silent, false);
+  set_last_up (&w, SILENT[_i].n_silent, false);
   searcher = &w.nodes[0].agent;
   (void)search_for_lost_flows (&w, searcher, SILENT[_i].for_us, &most_at_once);
-  ck_assert_msg (searcher->counts.asked_total <= max_asked, "%s: %lu questions, %lu at most",
+  ck_assert_msg (searcher->counts.asked_total <= max_queries, "%s: %lu queries, %lu at most",
                  SILENT[_i].what, (unsigned long)searcher->counts.asked_total,
-                 (unsigned long)max_asked);
-  ck_assert_msg (most_at_once <= 2U * (uint32_t)SILENT[_i].n, "%s: %u at once", SILENT[_i].what,
-                 most_at_once);
+                 (unsigned long)max_queries);
+  ck_assert_msg (most_at_once <= 2U * (uint32_t)SILENT[_i].n, "%s: %u queued at once",
+                 SILENT[_i].what, most_at_once);
   rw_stop (&w);
 }
 END_TEST
 
-/* Who was silent and speaks again is asked at once for all flows that are looked for. */
-START_TEST (test_callers_are_told_when_the_silent_speak)
+/* An endpoint that responds again is queried at once for all searched flows, as their callers wait
+ * for it. */
+START_TEST (test_returning_endpoints_are_queried_at_once)
 {
   uint32_t most_at_once = 0;
   uint32_t n_flows;
@@ -290,32 +294,32 @@
 
   rw_start_sized (&w, N_SMALL, N_SMALL, true);
   rw_settle (&w);
-  set_up (&w, N_SMALL / 2, false);
+  set_last_up (&w, N_SMALL / 2, false);
   n_flows = search_for_lost_flows (&w, &w.nodes[0].agent, LC_US_PER_S, &most_at_once);
   ck_assert_uint_eq (rw_take_resets (&w), 0);
-  set_up (&w, N_SMALL / 2, true);
+  set_last_up (&w, N_SMALL / 2, true);
   pass_until_copy (&w, 0);
   n_resets = rw_take_resets (&w);
-  ck_assert_msg (n_resets == n_flows, "%u of %u callers were told", n_resets, n_flows);
+  ck_assert_msg (n_resets == n_flows, "%u of %u callers were reset", n_resets, n_flows);
   rw_stop (&w);
 }
 END_TEST
 
-/* After a loss of all power each endpoint is announced anew, and for a second agents' views differ
- * by that.  An agent with a newer view knows no endpoint that one with an older view does not know:
- * the callers are told at once.  One that came since may hold the flow, and is waited for. */
+/* After a loss of all power each endpoint is announced again, and agents' views differ for a
+ * second.  A newer view without a new endpoint must not delay the resets.  A new endpoint may hold
+ * the flow, and the search waits for it. */
 static const struct
 {
   const char *what;
-  bool has_come; /* an endpoint that was not there before */
-  uint32_t n_told_at_once;
+  bool has_joined; /* an endpoint that was not there before */
+  uint32_t n_reset_at_once;
 } NEWER_VIEWS[] = {
-  { "endpoints were lost and are back", false, RW_N_FLOWS },
-  { "an endpoint has come as well", true, 0 },
+  { "endpoints lost and back", false, RW_N_FLOWS },
+  { "and a new endpoint joined", true, 0 },
 };
 
 static uint32_t
-told_within_a_copy (RwWorld *w)
+resets_within_a_copy (RwWorld *w)
 {
   for (uint32_t f = 0; f < RW_N_FLOWS; f++)
     {
@@ -327,9 +331,9 @@
   return rw_take_resets (w);
 }
 
-START_TEST (test_restarts_hold_no_answer_back)
+START_TEST (test_restarts_delay_no_resets)
 {
-  uint32_t n_told;
+  uint32_t n_reset;
   RwWorld w;
 
   rw_start_sized (&w, N_SMALL, N_SMALL + 1, true);
@@ -340,22 +344,22 @@
       rw_put_endpoint (&w, i, LC_ENDPOINT_LOST);
       rw_put_endpoint (&w, i, LC_ENDPOINT_ACTIVE);
     }
-  if (NEWER_VIEWS[_i].has_come)
+  if (NEWER_VIEWS[_i].has_joined)
     rw_put_endpoint (&w, N_SMALL, LC_ENDPOINT_ACTIVE);
-  rw_show_agent (&w, 5); /* alone */
-  n_told = told_within_a_copy (&w);
-  if (NEWER_VIEWS[_i].n_told_at_once > 0)
-    ck_assert_msg (n_told >= NEWER_VIEWS[_i].n_told_at_once, "%s: %u", NEWER_VIEWS[_i].what,
-                   n_told);
+  rw_show_agent (&w, 5); /* no other agent */
+  n_reset = resets_within_a_copy (&w);
+  if (NEWER_VIEWS[_i].n_reset_at_once > 0)
+    ck_assert_msg (n_reset >= NEWER_VIEWS[_i].n_reset_at_once, "%s: %u", NEWER_VIEWS[_i].what,
+                   n_reset);
   else
-    ck_assert_msg (n_told < RW_N_FLOWS / 4, "%s: %u", NEWER_VIEWS[_i].what, n_told);
+    ck_assert_msg (n_reset < RW_N_FLOWS / 4, "%s: %u", NEWER_VIEWS[_i].what, n_reset);
   rw_show_view (&w);
-  for (int copy = 1; copy < N_COPIES && n_told < RW_N_FLOWS; copy++)
+  for (int copy = 1; copy < N_COPIES && n_reset < RW_N_FLOWS; copy++)
     {
-      n_told += told_within_a_copy (&w);
+      n_reset += resets_within_a_copy (&w);
       pass_until_copy (&w, copy);
     }
-  ck_assert_msg (n_told >= RW_N_FLOWS, "%s: %u in the end", NEWER_VIEWS[_i].what, n_told);
+  ck_assert_msg (n_reset >= RW_N_FLOWS, "%s: %u resets in the end", NEWER_VIEWS[_i].what, n_reset);
   rw_stop (&w);
 }
 END_TEST
@@ -368,12 +372,11 @@
 
   tcase_set_timeout (tcase, 30);
   tcase_add_loop_test (tcase, test_held_flows_are_reached, 0, (int)G_N_ELEMENTS (HELD));
-  tcase_add_loop_test (tcase, test_lost_flows_are_told, 0, (int)G_N_ELEMENTS (LOST));
-  tcase_add_loop_test (tcase, test_restarts_hold_no_answer_back, 0,
-                       (int)G_N_ELEMENTS (NEWER_VIEWS));
-  tcase_add_test (tcase, test_silent_endpoint_holds_the_answer_back);
-  tcase_add_test (tcase, test_callers_are_told_when_the_silent_speak);
-  tcase_add_loop_test (tcase, test_silent_endpoints_are_asked_sparingly, 0,
+  tcase_add_loop_test (tcase, test_lost_flows_are_reset, 0, (int)G_N_ELEMENTS (LOST));
+  tcase_add_loop_test (tcase, test_restarts_delay_no_resets, 0, (int)G_N_ELEMENTS (NEWER_VIEWS));
+  tcase_add_test (tcase, test_silent_endpoint_delays_resets);
+  tcase_add_test (tcase, test_returning_endpoints_are_queried_at_once);
+  tcase_add_loop_test (tcase, test_queries_to_silent_endpoints_are_bounded, 0,
                        (int)G_N_ELEMENTS (SILENT));
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
--- a/tests/flow/test-flow-homes.c
+++ b/tests/flow/test-flow-homes.c
@@ -1,4 +1,4 @@
-/* Flows that are kept to regions: who gets new ones, and that open ones stay. */
+/* Home regions of addresses: new flows go to these regions only, open flows stay where they are. */
 #include "core/control/lc-home-check.h"
 #include "core/member/lc-scope.h"
 #include "return-world.h"
@@ -31,17 +31,16 @@
     rw_show_agent (w, i);
 }
 
-/* A first packet that a home's backend server returns may have no other home to go to. */
 static const struct
 {
   const char *what;
   const char *homes;
-  int last; /* of the agents that have seen the homes, from the first on */
+  int last; /* agents 0 to `last` have the view with the homes */
   bool balancer_sees;
-  int n_full; /* so many of the northern backend servers return first packets */
+  int n_full; /* northern backend servers that return first packets */
   bool may_be_north;
   bool may_be_south;
-  uint32_t n_held; /* by backend servers, of each flow */
+  uint32_t n_held; /* backend servers that hold each flow */
 } CASES[] = {
   { "no homes", "", 4, true, 0, true, true, 1 },
   { "everybody knows", "north", 4, true, 0, true, false, 1 },
@@ -55,7 +54,9 @@
   { "a name that another begins with", "northern,sou", 4, true, 0, false, false, 0 },
 };
 
-START_TEST (test_new_flows_stay_at_home)
+/* New flows stay in the home regions, also with lagging views and while home endpoints are full: a
+ * first packet that one of them returns may have no other endpoint to go to. */
+START_TEST (test_new_flows_stay_in_home_regions)
 {
   RwWorld w;
 
@@ -82,8 +83,8 @@
 }
 END_TEST
 
-/* Refused at once: nobody else may take the flow, and that is known. */
-START_TEST (test_no_home_is_said_at_once)
+/* A caller gets a reset at once if no endpoint is in a home region. */
+START_TEST (test_no_home_resets_at_once)
 {
   RwWorld w;
   LcPacket first = rw_packet_of (0, true);
@@ -98,8 +99,8 @@
 }
 END_TEST
 
-/* What is open stays where it is, whatever homes come and go; agents that start again find it. */
-START_TEST (test_open_flows_outlive_their_homes)
+/* Open flows stay at their endpoints when the homes change; a restarted agent finds them. */
+START_TEST (test_open_flows_survive_home_changes)
 {
   static const char *const HOMES[] = { "north", "south", "east", "" };
   RwWorld w;
@@ -124,10 +125,10 @@
 }
 END_TEST
 
-/* === where backend servers don't return packets ============================================= */
+/* === services whose backend servers don't return packets ==================================== */
 
-/* The agent that was asked is in no home of the flow: it sends the packet back. */
-START_TEST (test_owning_agent_refuses_away_from_home)
+/* An agent outside the home regions sends a first packet back to the assigner. */
+START_TEST (test_agent_outside_homes_refuses)
 {
   static const struct
   {
@@ -167,8 +168,8 @@
 }
 END_TEST
 
-/* Of each set the homes of a list are in the regions, those of former sets too. */
-START_TEST (test_lists_name_homes_alone)
+/* A candidate list has home agents in the home regions only. */
+START_TEST (test_candidate_lists_stay_in_home_regions)
 {
   LcCandidateSets sets = { 0 };
   RwWorld w;
@@ -193,7 +194,7 @@
 }
 END_TEST
 
-/* === what agents are told =================================================================== */
+/* === scope of agents' views ================================================================== */
 
 static void
 count_addresses (void *user, const LcViewOp *op)
@@ -201,7 +202,8 @@
   *(int *)user += op->kind == LC_VIEW_ADDRESS;
 }
 
-START_TEST (test_agents_are_told_of_homes_alone)
+/* Agents get addresses with homes of their own service only, but every removal. */
+START_TEST (test_scope_wants_only_addresses_with_homes)
 {
   static const struct
   {
@@ -239,9 +241,10 @@
 }
 END_TEST
 
-/* === what is accepted ======================================================================= */
+/* === input validation ======================================================================== */
 
-START_TEST (test_homes_as_text)
+/* lc_homes_add ignores a repeated name; an invalid or over-long one leaves the list as it was. */
+START_TEST (test_homes_add)
 {
   static const struct
   {
@@ -274,6 +277,7 @@
 }
 END_TEST
 
+/* A declaration with a region that neither a data centre nor the settings name is refused. */
 START_TEST (test_unknown_regions_are_refused)
 {
   static const struct
@@ -318,13 +322,13 @@
   Suite *suite = suite_create ("flow-homes");
   TCase *tc = tcase_create ("homes");
 
-  tcase_add_loop_test (tc, test_new_flows_stay_at_home, 0, G_N_ELEMENTS (CASES));
-  tcase_add_test (tc, test_no_home_is_said_at_once);
-  tcase_add_test (tc, test_open_flows_outlive_their_homes);
-  tcase_add_test (tc, test_owning_agent_refuses_away_from_home);
-  tcase_add_test (tc, test_lists_name_homes_alone);
-  tcase_add_test (tc, test_agents_are_told_of_homes_alone);
-  tcase_add_test (tc, test_homes_as_text);
+  tcase_add_loop_test (tc, test_new_flows_stay_in_home_regions, 0, G_N_ELEMENTS (CASES));
+  tcase_add_test (tc, test_no_home_resets_at_once);
+  tcase_add_test (tc, test_open_flows_survive_home_changes);
+  tcase_add_test (tc, test_agent_outside_homes_refuses);
+  tcase_add_test (tc, test_candidate_lists_stay_in_home_regions);
+  tcase_add_test (tc, test_scope_wants_only_addresses_with_homes);
+  tcase_add_test (tc, test_homes_add);
   tcase_add_test (tc, test_unknown_regions_are_refused);
   suite_add_tcase (suite, tc);
   return lc_fake_run (suite);
--- a/tests/flow/test-flow-owner.c
+++ b/tests/flow/test-flow-owner.c
@@ -1,14 +1,13 @@
-/* An agent keeps what it owns, whatever packet reaches its address.
+/* An agent keeps its owned flows, whichever packet reaches its address.
  *
- * THE STORY
- *   An agent crashed in lc_flow_pointers_flush: the queue of registrations had a count and no head.
- *   It had owned a flow that was still queued.  A second copy of the flow's first packet came for
- * an earlier process that had had its address, so it was not looked up; its walk ended there, and
- * the agent wrote the mark of a pending flow over the entry that it owned: "packet 1 walk to 11#11
- * hop 2 of 3" at endpoint 3#12: "owned (flags c) -> pending (flags 0)".  The mark in the entry that
- * it stood in the queue was gone, its links were not.  A crash takes every flow of the backend
- * server along; without a crash the agent has forgotten a flow that its backend server holds. Where
- * that walk named the agent itself as the assigner, the owned flow was assigned anew. */
+ *   Guards against a crash in lc_flow_pointers_flush, where the queue of registrations had a count
+ *   and no head.  The agent owned a flow that was still queued.  A second copy of its first packet,
+ *   addressed to an earlier process at this address, was not looked up; its walk ended here, and
+ *   the owned entry was overwritten with a PENDING one ("packet 1 walk to 11#11 hop 2 of 3" at
+ *   endpoint 3#12: "owned (flags c) -> pending (flags 0)"), which cleared its flag for the queue
+ *   but not its links.  A crash breaks every flow of the backend server; without one the agent
+ *   loses a flow that its backend server holds.  If the walk named the agent itself as the
+ *   assigner, the owned flow was assigned again. */
 #include "core/flow/lc-flow-agent.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -97,7 +96,7 @@
   return e;
 }
 
-/* The flow is owned and stands in the queue: the other home has not acknowledged it. */
+/* Makes the agent own the flow, which stays queued: the other home has not acknowledged it. */
 static void
 own_flow (World *w)
 {
@@ -114,7 +113,7 @@
   const char *what;
   LcEnvelopeMode mode;
   LcServiceId service;
-  uint8_t assigner; /* 0: the process that is gone; 1: another agent; 2: this one */
+  uint8_t assigner; /* index; 0: the earlier process; 1: another agent; 2: this one */
   bool may_open;
   LcFlowActionKind expected;
 } CASES[] = {
@@ -128,7 +127,8 @@
   { "a packet of another service", LC_MODE_WALK, SERVICE + 1, 1, true, LC_FLOW_ACTION_SEND },
 };
 
-START_TEST (test_owned_flow_stays)
+/* A packet for an earlier process or another service must not change the owned entry. */
+START_TEST (test_packets_for_others_keep_owned_flow)
 {
   LcEnvelope e = envelope_for (&EARLIER, CASES[_i].mode);
   LcPacket copy = packet_of (CASES[_i].may_open);
@@ -153,7 +153,9 @@
 }
 END_TEST
 
-START_TEST (test_ended_flow_goes_elsewhere)
+/* A first packet for an ended flow of a leaving agent goes to another endpoint, and the entry
+ * leaves the queue and the counts. */
+START_TEST (test_leaving_agent_reassigns_ended_flow)
 {
   LcEnvelope e = envelope_for (&THIS, LC_MODE_WALK);
   LcPacket last = packet_of (false);
@@ -184,8 +186,9 @@
   Suite *suite = suite_create ("flow-owner");
   TCase *tcase = tcase_create ("owner");
 
-  tcase_add_loop_test (tcase, test_owned_flow_stays, 0, (int)G_N_ELEMENTS (CASES));
-  tcase_add_test (tcase, test_ended_flow_goes_elsewhere);
+  tcase_add_loop_test (tcase, test_packets_for_others_keep_owned_flow, 0,
+                       (int)G_N_ELEMENTS (CASES));
+  tcase_add_test (tcase, test_leaving_agent_reassigns_ended_flow);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
--- a/tests/flow/test-flow-return.c
+++ b/tests/flow/test-flow-return.c
@@ -1,11 +1,11 @@
-/* Steering where backend servers return what they do not hold: tables of what happens. */
+/* Steering with backend servers that return packets of flows that they do not hold. */
 #include "return-world.h"
 #include "tests/fakes/lc-fake-run.h"
 
 #include <check.h>
 #include <string.h>
 
-/* === what happens =========================================================================== */
+/* === restarts and views ======================================================================= */
 
 typedef enum
 {
@@ -25,17 +25,17 @@
   Event event;
 } EVENTS[] = {
   { "nothing", NOTHING },
-  { "an agent starts again and knows nothing", RESTART_ONE },
-  { "all agents start again at once", RESTART_ALL },
+  { "an agent restarts without state", RESTART_ONE },
+  { "all agents restart at once", RESTART_ALL },
   { "endpoints join, and homes change", JOIN },
   { "an endpoint leaves with its flows", LEAVE },
   { "all endpoints leave with their flows", LEAVE_ALL },
-  { "the view says that a living endpoint is lost", LOSE_IN_VIEW },
-  { "an endpoint joins and leaves before anybody registers", VIEW_TWICE },
+  { "a live endpoint is LOST in the view", LOSE_IN_VIEW },
+  { "an endpoint joins and leaves before flows are registered", VIEW_TWICE },
 };
 
 static void
-happen (RwWorld *w, Event event)
+apply_event (RwWorld *w, Event event)
 {
   switch (event)
     {
@@ -72,17 +72,18 @@
   rw_show_view (w);
 }
 
+/* Packets of open flows must reach their owners after each event, and nothing may be reset. */
 START_TEST (test_open_flows_are_found)
 {
   RwWorld w;
 
   rw_start (&w, 3);
   rw_open_flows (&w);
-  happen (&w, EVENTS[_i].event);
+  apply_event (&w, EVENTS[_i].event);
   rw_check_all_reach (&w, EVENTS[_i].what);
   rw_settle (&w);
   rw_check_all_reach (&w, EVENTS[_i].what);
-  /* What was searched for once is registered again: the third packet needs no search. */
+  /* A flow that was found is registered again: the third packet needs no search. */
   rw_settle (&w);
   w.n_searches = 0;
   rw_check_all_reach (&w, EVENTS[_i].what);
@@ -93,14 +94,14 @@
 }
 END_TEST
 
-START_TEST (test_new_flows_avoid_who_leaves)
+/* A leaving endpoint gets no new flow, even from a balancer and agents with an old view. */
+START_TEST (test_new_flows_avoid_leaving_endpoint)
 {
   RwWorld w;
 
   rw_start (&w, 3);
   rw_put_endpoint (&w, 0, LC_ENDPOINT_DRAINING);
   lc_flow_agent_leave (&w.nodes[0].agent);
-  /* The balancer and the other agents have the old view. */
   rw_open_flows (&w);
   ck_assert_uint_eq (w.nodes[0].n_firsts, 0);
   for (uint32_t f = 0; f < RW_N_FLOWS; f++)
@@ -109,8 +110,8 @@
 }
 END_TEST
 
-/* Its backend server was taken for one that leaves, by the word of an earlier start. */
-START_TEST (test_who_stays_takes_new_flows)
+/* An agent takes new flows again after a leave request that concerned an earlier backend server. */
+START_TEST (test_cancelled_leave_takes_new_flows)
 {
   RwWorld w;
 
@@ -136,10 +137,12 @@
   { "one returns first packets", 1, 0, RW_N_FLOWS, 0 },
   { "two return first packets", 2, 0, RW_N_FLOWS, 0 },
   { "all return first packets", 3, 0, 0, RW_N_FLOWS },
-  { "a copy gets no reset", 3, 1, 0, 0 },
+  { "a retransmission gets no reset", 3, 1, 0, 0 },
 };
 
-START_TEST (test_first_packets_are_returned)
+/* A first packet that a full backend server returns goes to another, and is reset when all are
+ * full, unless it is a retransmission. */
+START_TEST (test_returned_first_packets_are_reassigned)
 {
   uint32_t n = 0;
   RwWorld w;
@@ -153,7 +156,7 @@
 
       p.n_copies = FULL[_i].n_copies;
       (void)rw_send (&w, &p);
-      w.now_us += 2 * LC_US_PER_S; /* each is asked anew: a refusal is remembered for a second */
+      w.now_us += 2 * LC_US_PER_S; /* assigners avoid a refusing endpoint for a second */
     }
   for (uint32_t f = 0; f < RW_N_FLOWS; f++)
     n += rw_n_held (&w, f);
@@ -163,9 +166,9 @@
 }
 END_TEST
 
-/* Two backend servers accepted copies of a first packet, and the caller went on with the one that
- * the homes do not point to. */
-START_TEST (test_the_caller_chooses)
+/* Packets must reach the backend server that the caller went on with after two accepted its first
+ * packet, even if the homes point to the other. */
+START_TEST (test_flow_follows_the_caller)
 {
   RwWorld w;
 
@@ -180,18 +183,18 @@
       w.nodes[from].holds[f] = false;
       w.nodes[(from + 1) % 3].holds[f] = true;
     }
-  rw_check_all_reach (&w, "right after");
+  rw_check_all_reach (&w, "before registration");
   for (int i = 0; i < 3; i++)
     rw_settle (&w);
   w.n_searches = 0;
-  rw_check_all_reach (&w, "later");
+  rw_check_all_reach (&w, "after registration");
   ck_assert_uint_eq (w.n_searches, 0);
   rw_stop (&w);
 }
 END_TEST
 
-/* A backend server that says nothing: the copies of a first packet go to another. */
-START_TEST (test_copies_go_on)
+/* A retransmitted first packet goes to another endpoint if a backend server left it unanswered. */
+START_TEST (test_unanswered_first_packets_are_reassigned)
 {
   RwWorld w;
 
@@ -202,19 +205,19 @@
       LcPacket p = rw_packet_of (f, true);
 
       (void)rw_send (&w, &p);
-      rw_settle (&w); /* the agent of the dead one has registered the flow with its homes */
+      rw_settle (&w); /* the dead one's agent registers the flow with its homes */
       p.n_copies = 1;
       (void)rw_send (&w, &p);
     }
   rw_settle (&w);
-  rw_check_all_reach (&w, "after the copies");
+  rw_check_all_reach (&w, "after the retransmissions");
   rw_stop (&w);
 }
 END_TEST
 
-/* An agent that is gone, while the view still names it: copies go to another, and packets of open
- * flows find their owners by the homes that are left. */
-START_TEST (test_agent_gone)
+/* Packets of open flows reach their owners through the remaining homes while the view still has an
+ * agent that is gone. */
+START_TEST (test_missing_agent_is_bypassed)
 {
   LcReach reach;
   RwWorld w;
@@ -222,7 +225,7 @@
   rw_start (&w, 3);
   rw_open_flows (&w);
   for (uint32_t f = 0; f < RW_N_FLOWS; f++)
-    w.nodes[2].holds[f] = false; /* its flows are lost with it */
+    w.nodes[2].holds[f] = false; /* its flows are lost */
   w.nodes[2].is_up = false;
   lc_reach_init (&reach);
   lc_reach_used (&reach, &w.nodes[2].agent.desc.self, w.now_us);
@@ -264,7 +267,8 @@
   { "answered late", LC_REACH_SUSPECT_US + 1000, LC_REACH_SUSPECT_US + 2000, false },
 };
 
-START_TEST (test_reach)
+/* An agent is suspect if it has not answered a probe in time, and no longer once it answers. */
+START_TEST (test_reach_suspects)
 {
   LcCandidate to = { .id = 1, .ipv4 = 5, .port = 7100 };
   LcReachAddress due[2];
@@ -274,7 +278,7 @@
   ck_assert_uint_eq (lc_reach_due (&reach, 1000, due, 2), 0);
   lc_reach_used (&reach, &to, 1000);
   ck_assert_uint_eq (lc_reach_due (&reach, 1000, due, 2), 1);
-  ck_assert_uint_eq (lc_reach_due (&reach, 1001, due, 2), 0); /* not again at once */
+  ck_assert_uint_eq (lc_reach_due (&reach, 1001, due, 2), 0); /* no second probe at once */
   if (REACH[_i].answered_us >= 0)
     lc_reach_answered (&reach, to.ipv4, to.port, 1000 + REACH[_i].answered_us);
   ck_assert_msg (lc_reach_is_suspect (&reach, to.ipv4, to.port, 1000 + REACH[_i].at_us) ==
@@ -285,8 +289,8 @@
 }
 END_TEST
 
-/* A balancer that no agent answers is cut off, until one of them does. */
-START_TEST (test_alone)
+/* A balancer counts as cut off while no agent answers its probes. */
+START_TEST (test_reach_alone)
 {
   LcCandidate agents[] = { { .ipv4 = 5, .port = 7100 }, { .ipv4 = 6, .port = 7100 } };
   int64_t late_us = 1000 + LC_REACH_SUSPECT_US;
@@ -294,7 +298,7 @@
   LcReach reach;
 
   lc_reach_init (&reach);
-  ck_assert (!lc_reach_is_alone (&reach, 1000)); /* it sends to nobody */
+  ck_assert (!lc_reach_is_alone (&reach, 1000)); /* it has sent to no agent */
   for (int i = 0; i < 2; i++)
     lc_reach_used (&reach, &agents[i], 1000);
   ck_assert_uint_eq (lc_reach_due (&reach, 1000, due, 4), 2);
@@ -304,7 +308,7 @@
   ck_assert_uint_eq (lc_reach_due (&reach, late_us, due, 4), 2);
   late_us += LC_REACH_SUSPECT_US;
   ck_assert (lc_reach_is_alone (&reach, late_us));
-  /* It goes on asking for longer than it remembers agents without packets. */
+  /* It keeps probing after LC_REACH_FORGET_US, when agents without packets expire. */
   for (int64_t t = late_us; t < late_us + 2 * LC_REACH_FORGET_US; t += LC_REACH_PROBE_US)
     {
       ck_assert (lc_reach_is_alone (&reach, t));
@@ -316,6 +320,7 @@
 }
 END_TEST
 
+/* A packet of another service is dropped in every mode. */
 START_TEST (test_other_service_is_refused)
 {
   static const LcEnvelopeMode MODES[] = { LC_MODE_WALK, LC_MODE_OPEN, LC_MODE_OWNER,
@@ -337,15 +342,15 @@
 }
 END_TEST
 
-/* === flows that nobody holds ================================================================ */
+/* === flows without an owner ================================================================= */
 
 typedef enum
 {
   ALL_ANSWER,
-  ONE_SILENT,    /* in the view, and does not answer */
-  ONE_LOST,      /* the view has lost it long ago */
-  ONE_JUST_LOST, /* the view has lost it, but it may live */
-  ONE_HOLDS,     /* the flow is at an endpoint whose agent has forgotten it */
+  ONE_SILENT,    /* in the view, but does not answer */
+  ONE_LOST,      /* LOST in the view for long */
+  ONE_JUST_LOST, /* LOST in the view just now: may be alive */
+  ONE_HOLDS,     /* holds the flow, but its agent has restarted */
 } Lost;
 
 static const struct
@@ -354,11 +359,11 @@
   Lost lost;
   bool has_resets;
 } LOST[] = {
-  { "every backend server denies the flow", ALL_ANSWER, true },
+  { "no backend server holds the flow", ALL_ANSWER, true },
   { "one does not answer", ONE_SILENT, false },
-  { "one does not answer, and the view has lost it long ago", ONE_LOST, true },
-  { "one does not answer, and the view has just lost it", ONE_JUST_LOST, false },
-  { "one holds the flow, but its agent knows nothing", ONE_HOLDS, false },
+  { "one does not answer, and has long been LOST", ONE_LOST, true },
+  { "one does not answer, and has just become LOST", ONE_JUST_LOST, false },
+  { "one holds the flow, but its agent has restarted", ONE_HOLDS, false },
 };
 
 static void
@@ -379,7 +384,8 @@
     }
 }
 
-START_TEST (test_lost_flows)
+/* Callers get a reset only if every endpoint is accounted for. */
+START_TEST (test_lost_flows_are_reset)
 {
   uint32_t n_resets;
   RwWorld w;
@@ -404,8 +410,9 @@
 }
 END_TEST
 
-/* One that knows of a newer set of members holds the search open: there may be another endpoint. */
-START_TEST (test_denials)
+/* A search ends only when all members denied the flow, and waits for the newest roster in their
+ * answers: that may have another endpoint. */
+START_TEST (test_search_needs_all_denials)
 {
   static const LcFlowSearchMember MEMBERS[] = { { 1, 11 }, { 2, 12 }, { 3, 13 }, { 4, 14 } };
   static const struct
@@ -415,15 +422,15 @@
     LcRevision memberships[4];
     int64_t after_us;
     bool is_lost;
-    LcRevision learned; /* of the newer set; 0: it is not learned */
-    uint32_t n_then;    /* its members */
+    LcRevision learned; /* newer roster that is set then; 0: none */
+    uint32_t n_then;    /* members in it */
     bool is_lost_then;
   } CASES[] = {
     { "all", { 1, 2, 3 }, { 5, 5, 5 }, 0, true, 0, 0, false },
     { "older views", { 3, 2, 1 }, { 4, 3, 5 }, 0, true, 0, 0, false },
     { "one twice", { 1, 2, 2 }, { 5, 5, 5 }, 0, false, 0, 0, false },
     { "one missing", { 1, 3 }, { 5, 5 }, 0, false, 0, 0, false },
-    { "one that was not asked", { 1, 2, 9 }, { 5, 5, 5 }, 0, false, 0, 0, false },
+    { "one that is no member", { 1, 2, 9 }, { 5, 5, 5 }, 0, false, 0, 0, false },
     { "a newer view", { 1, 2, 3 }, { 5, 6, 5 }, 0, false, 0, 0, false },
     { "too late", { 1, 2, 3 }, { 5, 5, 5 }, LC_FLOW_SEARCH_US, false, 0, 0, false },
     { "a newer view, learned later", { 1, 2, 3 }, { 5, 6, 5 }, 0, false, 6, 3, true },
@@ -456,7 +463,7 @@
 }
 END_TEST
 
-/* What was said at one address counts for no other: the endpoint may have been there already. */
+/* A denial counts for its address only: the endpoint may have had flows at the new one already. */
 START_TEST (test_denial_from_another_address)
 {
   static const LcFlowSearchMember BEFORE[] = { { 1, 11 }, { 2, 12 } };
@@ -478,9 +485,9 @@
 }
 END_TEST
 
-/* An endpoint has joined, and only it and the balancer have heard of that; its agent starts again.
- * The orders of events that the properties found with seed 5. */
-START_TEST (test_owner_that_others_do_not_know)
+/* A flow must be found at an endpoint that only itself and the balancer have in their views, after
+ * its agent restarted.  Property tests found this order of events with seed 5. */
+START_TEST (test_owner_missing_in_other_views)
 {
   RwWorld w;
   LcPacket first = rw_packet_of (1, true);
@@ -501,16 +508,16 @@
 }
 END_TEST
 
-/* A backend server that is not there looks like the one with the least to do; what it returns has
- * to be learnt from. */
+/* An absent backend server looks like the least loaded one: the first packets that it returns must
+ * stop new flows to it. */
 static const struct
 {
   const char *what;
   LcFlowBackend backend;
   uint64_t max_returned;
 } GONE[] = {
-  { "asked on trust after a restart", LC_FLOW_BACKEND_ASKED, 1 },
-  { "it had reported itself", LC_FLOW_BACKEND_OPEN, 3 },
+  { "unconfirmed after a restart", LC_FLOW_BACKEND_ASKED, 1 },
+  { "it had reported", LC_FLOW_BACKEND_OPEN, 3 },
 };
 
 static void
@@ -525,7 +532,7 @@
   rw_settle (w);
 }
 
-START_TEST (test_backends_that_are_gone_are_left_out)
+START_TEST (test_absent_backends_get_no_flows)
 {
   RwWorld w;
 
@@ -536,7 +543,7 @@
   ck_assert_uint_eq (w.n_resets, 0);
   ck_assert_msg (w.nodes[0].agent.counts.returned_total <= GONE[_i].max_returned, "%s: %lu",
                  GONE[_i].what, (unsigned long)w.nodes[0].agent.counts.returned_total);
-  /* It reports itself: it is given new flows again. */
+  /* It reports: it gets new flows again. */
   w.nodes[0].is_full = false;
   lc_flow_agent_set_backend (&w.nodes[0].agent, LC_FLOW_BACKEND_OPEN);
   w.now_us += 6 * LC_US_PER_S;
@@ -547,21 +554,21 @@
 }
 END_TEST
 
-/* A backend server that resets each request at once has nothing at work, so it looks idle: without
- * a rule of its own it would be given every new flow. */
+/* A backend server that resets each request at once looks idle and would get every new flow without
+ * outlier detection. */
 static const struct
 {
   const char *what;
   uint32_t n_failing; /* of three */
-  uint32_t n_most;    /* flows that these are given, of RW_N_FLOWS */
+  uint32_t n_most;    /* flows that these get, of RW_N_FLOWS */
   uint32_t n_least;
 } FAILING[] = {
   { "one fails", 1, 4, 3 },
-  { "two fail: as many as work may be left out, no more", 2, RW_N_FLOWS - 1, 6 },
-  { "all fail: somebody still gets each flow", 3, RW_N_FLOWS, RW_N_FLOWS },
+  { "two fail: no more are ejected than remain", 2, RW_N_FLOWS - 1, 6 },
+  { "all fail: each flow is still assigned", 3, RW_N_FLOWS, RW_N_FLOWS },
 };
 
-START_TEST (test_failing_backends_are_left_out)
+START_TEST (test_failing_backends_are_ejected)
 {
   uint32_t n_given = 0;
   RwWorld w;
@@ -579,7 +586,7 @@
       request.sequence = 1;
       ck_assert_int_eq (rw_send (&w, &first), 0);
       (void)rw_send (&w, &request);
-      w.now_us += 2 * LC_US_PER_MS; /* so that no agent has told its load meanwhile */
+      w.now_us += 2 * LC_US_PER_MS; /* no load report in between */
     }
   for (uint32_t i = 0; i < FAILING[_i].n_failing; i++)
     n_given += w.nodes[i].n_firsts;
@@ -596,22 +603,22 @@
   TCase *tcase = tcase_create ("flow-return");
 
   tcase_add_loop_test (tcase, test_open_flows_are_found, 0, (int)G_N_ELEMENTS (EVENTS));
-  tcase_add_test (tcase, test_new_flows_avoid_who_leaves);
-  tcase_add_test (tcase, test_who_stays_takes_new_flows);
-  tcase_add_loop_test (tcase, test_first_packets_are_returned, 0, (int)G_N_ELEMENTS (FULL));
-  tcase_add_test (tcase, test_the_caller_chooses);
-  tcase_add_test (tcase, test_copies_go_on);
-  tcase_add_test (tcase, test_agent_gone);
-  tcase_add_loop_test (tcase, test_reach, 0, (int)G_N_ELEMENTS (REACH));
-  tcase_add_test (tcase, test_alone);
+  tcase_add_test (tcase, test_new_flows_avoid_leaving_endpoint);
+  tcase_add_test (tcase, test_cancelled_leave_takes_new_flows);
+  tcase_add_loop_test (tcase, test_returned_first_packets_are_reassigned, 0,
+                       (int)G_N_ELEMENTS (FULL));
+  tcase_add_test (tcase, test_flow_follows_the_caller);
+  tcase_add_test (tcase, test_unanswered_first_packets_are_reassigned);
+  tcase_add_test (tcase, test_missing_agent_is_bypassed);
+  tcase_add_loop_test (tcase, test_reach_suspects, 0, (int)G_N_ELEMENTS (REACH));
+  tcase_add_test (tcase, test_reach_alone);
   tcase_add_test (tcase, test_other_service_is_refused);
-  tcase_add_loop_test (tcase, test_lost_flows, 0, (int)G_N_ELEMENTS (LOST));
-  tcase_add_loop_test (tcase, test_backends_that_are_gone_are_left_out, 0,
-                       (int)G_N_ELEMENTS (GONE));
-  tcase_add_test (tcase, test_owner_that_others_do_not_know);
-  tcase_add_test (tcase, test_denials);
+  tcase_add_loop_test (tcase, test_lost_flows_are_reset, 0, (int)G_N_ELEMENTS (LOST));
+  tcase_add_loop_test (tcase, test_absent_backends_get_no_flows, 0, (int)G_N_ELEMENTS (GONE));
+  tcase_add_test (tcase, test_owner_missing_in_other_views);
+  tcase_add_test (tcase, test_search_needs_all_denials);
   tcase_add_test (tcase, test_denial_from_another_address);
-  tcase_add_loop_test (tcase, test_failing_backends_are_left_out, 0,
+  tcase_add_loop_test (tcase, test_failing_backends_are_ejected, 0,
                        (int)(sizeof FAILING / sizeof FAILING[0]));
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
