--- a/src/core/flow/lc-flow-finder.c
+++ b/src/core/flow/lc-flow-finder.c
@@ -265,11 +265,11 @@
 /* Sends the packet also to homes of the balancer's view that are not in the view here: they may
  * hold the flow. */
 static void
-lc_flow_finder__try_unknown (LcFlowAgent *a, const LcEnvelope *e, uint32_t place)
+lc_flow_finder__try_unknown (LcFlowAgent *a, const LcEnvelope *e, uint32_t slot)
 {
   for (uint32_t i = 0; i < e->n; i++)
     {
-      LcFlowFound unknown = { place, e->candidates[i] };
+      LcFlowFound unknown = { slot, e->candidates[i] };
 
       if (lc_assign_peer (&a->assign, e->candidates[i].id) == NULL)
         g_array_append_val (a->found, unknown);
--- a/src/core/flow/lc-flow-search.c
+++ b/src/core/flow/lc-flow-search.c
@@ -356,11 +356,11 @@
 }
 
 LcFlowSearch *
-lc_flow_search_at (LcFlowSearches *s, uint32_t place, int64_t now_us)
+lc_flow_search_at (LcFlowSearches *s, uint32_t slot, int64_t now_us)
 {
-  if (s->n_used == 0 || !lc_flow_search__is_running (&s->slots[place], now_us))
+  if (s->n_used == 0 || !lc_flow_search__is_running (&s->slots[slot], now_us))
     return NULL;
-  return &s->slots[place];
+  return &s->slots[slot];
 }
 
 uint32_t
@@ -377,11 +377,11 @@
                       int64_t now_us)
 {
   LcFlowSearch *search = lc_flow_search__find (s, key);
-  int place = lc_flow_search__place (s, member);
+  int position = lc_flow_search__place (s, member);
 
-  if (search == NULL || place < 0 || !lc_flow_search__is_running (search, now_us))
+  if (search == NULL || position < 0 || !lc_flow_search__is_running (search, now_us))
     return;
-  lc_flow_search__add (&search->ruled_out, (uint32_t)place);
+  lc_flow_search__add (&search->ruled_out, (uint32_t)position);
   search->newest_roster = MAX (search->newest_roster, membership);
   lc_flow_search__end_if_lost (s, search);
 }
@@ -390,10 +390,10 @@
 lc_flow_search_doubt (LcFlowSearches *s, const LcFlowKey *key, const LcFlowSearchMember *member)
 {
   LcFlowSearch *search = lc_flow_search__find (s, key);
-  int place = lc_flow_search__place (s, member);
+  int position = lc_flow_search__place (s, member);
 
-  if (search != NULL && place >= 0)
-    lc_flow_search__add (&search->unsure, (uint32_t)place);
+  if (search != NULL && position >= 0)
+    lc_flow_search__add (&search->unsure, (uint32_t)position);
 }
 
 bool
@@ -405,13 +405,13 @@
 }
 
 bool
-lc_flow_search_found (LcFlowSearches *s, const LcFlowKey *key, uint32_t *place)
+lc_flow_search_found (LcFlowSearches *s, const LcFlowKey *key, uint32_t *slot)
 {
   LcFlowSearch *search = lc_flow_search__find (s, key);
 
   if (search == NULL)
     return false;
-  *place = lc_flow_search_place (s, search);
+  *slot = lc_flow_search_place (s, search);
   lc_flow_search__end (s, search);
   return true;
 }
@@ -452,13 +452,13 @@
 const LcFlowRound *
 lc_flow_search_unanswered (const LcFlowSearches *s, const LcFlowSearchMember *member, uint32_t *at)
 {
-  int place = lc_flow_search__place (s, member);
+  int position = lc_flow_search__place (s, member);
 
-  while (s->rounds != NULL && place >= 0 && *at < LC_FLOW_ROUNDS)
+  while (s->rounds != NULL && position >= 0 && *at < LC_FLOW_ROUNDS)
     {
       const LcFlowRound *round = &s->rounds[(*at)++];
 
-      if (round->id != 0 && lc_flow_search_is_asked (round, (uint32_t)place))
+      if (round->id != 0 && lc_flow_search_is_asked (round, (uint32_t)position))
         return round;
     }
   return NULL;
@@ -472,16 +472,16 @@
                        int64_t now_us)
 {
   LcFlowRound *round = lc_flow_search__round_of (s, id);
-  int place = lc_flow_search__place (s, member);
+  int position = lc_flow_search__place (s, member);
 
-  if (round == NULL || place < 0)
+  if (round == NULL || position < 0)
     return;
-  lc_flow_search__add (&round->answered, (uint32_t)place);
+  lc_flow_search__add (&round->answered, (uint32_t)position);
   for (uint32_t i = 0; i < round->n; i++)
     {
       LcFlowSearch *search = lc_flow_search__find (s, &round->keys[i]);
 
-      if (search != NULL && !lc_flow_search__has (&search->unsure, (uint32_t)place))
+      if (search != NULL && !lc_flow_search__has (&search->unsure, (uint32_t)position))
         lc_flow_search_clear (s, &round->keys[i], member, membership, now_us);
     }
 }
@@ -490,10 +490,10 @@
 lc_flow_search_cannot_say (LcFlowSearches *s, uint32_t id, const LcFlowSearchMember *member)
 {
   LcFlowRound *round = lc_flow_search__round_of (s, id);
-  int place = lc_flow_search__place (s, member);
+  int position = lc_flow_search__place (s, member);
 
-  if (round != NULL && place >= 0)
-    lc_flow_search__add (&round->answered, (uint32_t)place);
+  if (round != NULL && position >= 0)
+    lc_flow_search__add (&round->answered, (uint32_t)position);
 }
 
 bool
--- a/src/core/flow/lc-flow-search.h
+++ b/src/core/flow/lc-flow-search.h
@@ -157,7 +157,7 @@
                                void *user,
                                LcEndpointId out[LC_FLOW_SEARCH_MAX]);
   /* The search in this slot (0 to LC_FLOW_SEARCHES - 1) if it is under way, or NULL. */
-  LcFlowSearch *lc_flow_search_at (LcFlowSearches *searches, uint32_t place, int64_t now_us);
+  LcFlowSearch *lc_flow_search_at (LcFlowSearches *searches, uint32_t slot, int64_t now_us);
   uint32_t lc_flow_search_place (const LcFlowSearches *searches, const LcFlowSearch *search);
   /* Records that the member does not hold the flow; `membership`: its newest roster revision. */
   void lc_flow_search_clear (LcFlowSearches *searches,
@@ -169,8 +169,8 @@
   void lc_flow_search_doubt (LcFlowSearches *searches,
                              const LcFlowKey *key,
                              const LcFlowSearchMember *member);
-  /* Ends the search as the owner is known, and returns its slot in `place`; false: no search. */
-  bool lc_flow_search_found (LcFlowSearches *searches, const LcFlowKey *key, uint32_t *place);
+  /* Ends the search as the owner is known, and returns its slot in `slot`; false: no search. */
+  bool lc_flow_search_found (LcFlowSearches *searches, const LcFlowKey *key, uint32_t *slot);
 
   /* The next round to send or resend, marked as sent now; NULL: none. */
   const LcFlowRound *lc_flow_search_round (LcFlowSearches *searches, int64_t now_us);
--- a/tests/flow/test-flow-homes.c
+++ b/tests/flow/test-flow-homes.c
@@ -202,7 +202,7 @@
   *(int *)user += op->kind == LC_VIEW_ADDRESS;
 }
 
-/* Agents get addresses with homes of their own service only, but every removal. */
+/* Agents get the addresses of their own service that have homes, and the removals of these. */
 START_TEST (test_scope_wants_only_addresses_with_homes)
 {
   static const struct
