--- a/src/agent/lc-agent-flow-report.c
+++ b/src/agent/lc-agent-flow-report.c
@@ -66,11 +66,11 @@
   lc_flow_meter_add (meter, metrics, "lychee_flow_forwarded_total", "Packets sent on", NULL,
                      &counts->forwarded_total);
   lc_flow_meter_add (meter, metrics, "lychee_flow_taken_total", "Flows taken", NULL,
-                     &counts->taken_total);
+                     &counts->accepted_total);
   lc_flow_meter_add (meter, metrics, "lychee_flow_assigned_total", "Flows assigned", NULL,
                      &counts->assigned_total);
   lc_flow_meter_add (meter, metrics, "lychee_flow_passed_total", "Flows assigned to others", NULL,
-                     &counts->passed_total);
+                     &counts->assigned_away_total);
   lc_flow_meter_add (meter, metrics, "lychee_flow_refused_total", "New flows refused", NULL,
                      &counts->refused_total);
   lc_flow_meter_add (meter, metrics, "lychee_flow_conflicts_total", "Flows given up to another",
@@ -83,7 +83,7 @@
                      "Packets whose owner was searched for", NULL, &counts->searched_total);
   lc_flow_meter_add (meter, metrics, "lychee_flow_asked_total",
                      "Messages to agents that may know the owners of flows", NULL,
-                     &counts->asked_total);
+                     &counts->queries_total);
   lc_flow_meter_add_drops (meter, metrics, counts->dropped_total);
   plane->open_flows =
       lc_metrics_gauge (metrics, "lychee_flow_open", "Open flows of the backend server", NULL);
@@ -107,7 +107,7 @@
 lc_agent_flow__bring_totals (LcAgentFlow *plane)
 {
   const LcFlowAgentCounts *counts = &plane->agent.counts;
-  uint64_t opened = counts->taken_total + counts->adopted_total;
+  uint64_t opened = counts->accepted_total + counts->adopted_total;
   uint64_t gone = opened - MIN (opened, lc_flow_agent_open_flows (&plane->agent));
 
   lc_flow_meter_bring (&plane->meter);
@@ -192,7 +192,7 @@
     case LC_FLOW_ACTION_SEARCH:
       line.kind = LC_FLOW_LOG_SEARCHED;
       line.why =
-          action->search.is_here ? "no home knows its owner" : "the backend server returned it";
+          action->search.is_local ? "no home knows its owner" : "the backend server returned it";
       line.n_asked = n_asked;
       break;
     case LC_FLOW_ACTION_RESET:
@@ -241,13 +241,13 @@
   if (answer->kind == LC_FLOW_ANSWER_NONE)
     return;
   lc_metric_observe_us (answer->kind == LC_FLOW_ANSWER_OPENED ? plane->open_us : plane->answer_us,
-                        answer->after_us);
-  if (answer->after_us < (int64_t)plane->desc.settings->late_answer_ms * LC_US_PER_MS)
+                        answer->elapsed_us);
+  if (answer->elapsed_us < (int64_t)plane->desc.settings->late_answer_ms * LC_US_PER_MS)
     return;
   lc_metric_add (plane->late_total, 1);
   key = lc_flow_return_key (packet);
   line = lc_agent_flow__line (plane, LC_FLOW_LOG_LATE, &key, now_us);
   line.why = answer->kind == LC_FLOW_ANSWER_OPENED ? "accepted late" : "answered late";
-  line.after_us = answer->after_us;
+  line.after_us = answer->elapsed_us;
   lc_flow_log (&plane->log, &line, now_us);
 }
--- a/src/agent/lc-agent-flow-start.c
+++ b/src/agent/lc-agent-flow-start.c
@@ -21,7 +21,7 @@
 lc_agent_flow__weigh_work (LcFlowAgentDesc *desc)
 {
   desc->load_interval_us = LC_AGENT_FLOW_LOAD_MS * LC_US_PER_MS;
-  desc->tell_min_us = LC_AGENT_FLOW_TELL_MS * LC_US_PER_MS;
+  desc->load_min_interval_us = LC_AGENT_FLOW_TELL_MS * LC_US_PER_MS;
   desc->assign.work_weight = LC_AGENT_FLOW_WORK_WEIGHT;
   desc->assign.ramp_first_permille = LC_AGENT_FLOW_RAMP_PERMILLE;
   desc->assign.near_permille = LC_AGENT_FLOW_NEAR_PERMILLE;
@@ -38,12 +38,12 @@
   desc.connection_limit = settings->connection_limit;
   desc.udp_idle_us = (int64_t)settings->udp_idle_ms * LC_US_PER_MS;
   desc.tcp_idle_us = (int64_t)settings->tcp_idle_ms * LC_US_PER_MS;
-  desc.is_returning = lc_packet_format_is_returning (lc_agent_flow__format (plane));
+  desc.returns_packets = lc_packet_format_is_returning (lc_agent_flow__format (plane));
   desc.backend_ipv4 = settings->backend_feed.ipv4;
   desc.backend_port = settings->backend_feed.port;
   desc.cold = (LcColdLimitDesc){ settings->cold_overshoot_permille, settings->cold_slack };
   desc.assign.ramp_us = (int64_t)settings->ramp_ms * LC_US_PER_MS;
-  if (desc.is_returning)
+  if (desc.returns_packets)
     lc_agent_flow__weigh_work (&desc);
   return desc;
 }
@@ -56,7 +56,7 @@
     LcAgentFlow *plane, const LcCandidate *self, LcServiceId service_id, LcDcId dc, int64_t now_us)
 {
   LcFlowAgentDesc desc = lc_agent_flow__agent_desc (plane);
-  LcColdLimit firsts = plane->agent.firsts;
+  LcColdLimit firsts = plane->agent.first_packets;
   LcColdLimit requests = plane->agent.gate.cold;
   bool goes_on = plane->has_agent;
 
@@ -66,12 +66,12 @@
   lc_agent_held_finish (&plane->searched);
   desc.self = *self;
   desc.service_id = service_id;
-  desc.is_fresh = plane->is_fresh;
+  desc.is_backend_fresh = plane->is_fresh;
   lc_flow_agent_init (&plane->agent, &desc, now_us);
   if (goes_on)
     {
       /* What was given in the last second may have been given to this start of it already. */
-      plane->agent.firsts = firsts;
+      plane->agent.first_packets = firsts;
       plane->agent.gate.cold = requests;
     }
   lc_flow_agent_set_cold (&plane->agent, plane->is_cold);
--- a/src/agent/lc-agent-flow.c
+++ b/src/agent/lc-agent-flow.c
@@ -71,7 +71,7 @@
   LcFlowHeld held;
 
   while (lc_flow_return_next_held (&plane->agent, &held, now_us))
-    if (!held.is_given)
+    if (!held.is_released)
       lc_agent_held_drop (&plane->held, held.flow);
     else
       while ((packet = lc_agent_held_take (&plane->held, held.flow)) != NULL)
@@ -92,7 +92,7 @@
 
   while (lc_flow_finder_next_try (&plane->agent, now_us, &next))
     {
-      const LcAgentHeldPacket *kept = lc_agent_held_take (&plane->searched, next.place);
+      const LcAgentHeldPacket *kept = lc_agent_held_take (&plane->searched, next.slot);
 
       for (uint32_t i = 0; kept != NULL && i < next.n; i++)
         {
@@ -103,7 +103,7 @@
           n_given++;
         }
       if (kept != NULL)
-        (void)lc_agent_held_put (&plane->searched, next.place, kept->bytes, kept->len);
+        (void)lc_agent_held_put (&plane->searched, next.slot, kept->bytes, kept->len);
     }
   return n_given;
 }
@@ -211,9 +211,9 @@
                        const LcPacket *packet)
 {
   lc_packet_format_set_mark (lc_agent_flow__format (plane), bytes, LC_FLOW_MARK_NONE);
-  lc_agent_held_drop (&plane->searched, action->search.place);
-  (void)lc_agent_held_put (&plane->searched, action->search.place, bytes, packet->total_len);
-  if (action->search.is_here)
+  lc_agent_held_drop (&plane->searched, action->search.slot);
+  (void)lc_agent_held_put (&plane->searched, action->search.slot, bytes, packet->total_len);
+  if (action->search.is_local)
     lc_agent_flow__give (plane, bytes, packet->total_len, plane->agent.desc.self.id);
 }
 
--- a/src/core/flow/lc-flow-agent-packet.c
+++ b/src/core/flow/lc-flow-agent-packet.c
@@ -71,13 +71,13 @@
       (a->backend == LC_FLOW_BACKEND_ASKED && a->has_returned_first))
     return false;
   /* If backend servers return packets, an agent that control counts as lost does no harm. */
-  return a->desc.is_returning || !a->is_cut_off;
+  return a->desc.returns_packets || !a->is_cut_off;
 }
 
 bool
 lc_flow_agent__may_take (const LcFlowAgent *a, int64_t now_us)
 {
-  return lc_flow_agent__is_accepting (a) && lc_cold_limit_has_room (&a->firsts, now_us);
+  return lc_flow_agent__is_accepting (a) && lc_cold_limit_has_room (&a->first_packets, now_us);
 }
 
 /* === private: health of the backend server ================================================= */
@@ -231,7 +231,7 @@
   if (f == NULL)
     return lc_flow_agent__drop (a, LC_DROP_NO_MEMORY);
   if (packet->may_open)
-    lc_cold_limit_note (&a->firsts, now_us);
+    lc_cold_limit_note (&a->first_packets, now_us);
   lc_flow_agent__become (a, f, LC_FLOW_OWNED);
   f->began_ms = 0;
   f->data_end = 0;
@@ -245,7 +245,7 @@
   lc_flow_table_set_deadline (
       &a->table, f, now_us + MIN (a->desc.refresh_us, lc_flow_agent__idle_us (a, &packet->key)));
   lc_flow_pointers_start (a, f);
-  a->counts.taken_total++;
+  a->counts.accepted_total++;
   return lc_flow_agent__deliver (a, f, packet, true, now_us);
 }
 
@@ -287,7 +287,7 @@
   peer = &a->assign.peers[i];
   if (peer->agent.id == a->desc.self.id)
     return lc_flow_agent__take (a, f, packet, now_us);
-  a->counts.passed_total++;
+  a->counts.assigned_away_total++;
   lc_assign_note (&a->assign, i);
   if (!lc_flow_agent__expect (a, f, packet, &peer->agent, now_us))
     return lc_flow_agent__drop (a, LC_DROP_NO_MEMORY);
--- a/src/core/flow/lc-flow-agent.c
+++ b/src/core/flow/lc-flow-agent.c
@@ -81,7 +81,7 @@
 
   return (uint64_t)change * 1000 > (uint64_t)a->reported_load * LC_FLOW_TELL_PERMILLE ||
          a->reported_bad != lc_flow_agent__looks_bad (a, now_us) ||
-         a->reported_spent == lc_cold_limit_has_room (&a->firsts, now_us);
+         a->reported_spent == lc_cold_limit_has_room (&a->first_packets, now_us);
 }
 
 /* Reports the load to up to desc.load_fanout peers, in rotation. */
@@ -91,13 +91,14 @@
   uint32_t n = a->assign.n_peers;
   uint32_t sent = 0;
 
-  if (n == 0 || (now_us < a->next_load_us && (now_us - a->reported_us < a->desc.tell_min_us ||
-                                              !lc_flow_agent__has_changed (a, now_us))))
+  if (n == 0 ||
+      (now_us < a->next_load_us && (now_us - a->reported_us < a->desc.load_min_interval_us ||
+                                    !lc_flow_agent__has_changed (a, now_us))))
     return;
   a->reported_load = lc_flow_agent__weight (a, now_us);
   a->reported_us = now_us;
   a->reported_bad = lc_flow_agent__looks_bad (a, now_us);
-  a->reported_spent = !lc_cold_limit_has_room (&a->firsts, now_us);
+  a->reported_spent = !lc_cold_limit_has_room (&a->first_packets, now_us);
   a->next_load_us = now_us + a->desc.load_interval_us;
   for (uint32_t k = 0; k < n && sent < a->desc.load_fanout; k++)
     {
@@ -132,7 +133,7 @@
 
   lc_flow_gate_set_server (&a->gate, slots, objective_ms * LC_US_PER_MS);
   lc_cold_limit_set_rate (&a->gate.cold, service != NULL ? service->cold_rate_mrps : 0);
-  lc_cold_limit_set_rate (&a->firsts, service != NULL ? service->cold_rate_mrps : 0);
+  lc_cold_limit_set_rate (&a->first_packets, service != NULL ? service->cold_rate_mrps : 0);
 }
 
 /* Digest of each address and its home regions; independent of the order of the addresses. */
@@ -185,8 +186,8 @@
   lc_flow_table_init (&a->table, d->max_flows, now_us);
   lc_assign_init (&a->assign, &d->assign);
   a->outbox = g_queue_new ();
-  a->complete_from_us = d->is_fresh ? now_us : now_us + d->tcp_idle_us;
-  if (d->is_returning)
+  a->complete_from_us = d->is_backend_fresh ? now_us : now_us + d->tcp_idle_us;
+  if (d->returns_packets)
     {
       a->searches = g_new (LcFlowSearches, 1);
       lc_flow_searches_init (a->searches, now_us);
@@ -196,11 +197,11 @@
   a->held = g_array_new (FALSE, FALSE, sizeof (LcFlowHeld));
   lc_flow_gate_init (&a->gate, &d->gate);
   lc_cold_limit_init (&a->gate.cold, &d->cold, now_us);
-  lc_cold_limit_init (&a->firsts, &d->cold, now_us);
-  if (!d->is_fresh)
+  lc_cold_limit_init (&a->first_packets, &d->cold, now_us);
+  if (!d->is_backend_fresh)
     return;
   lc_cold_limit_know_all (&a->gate.cold);
-  lc_cold_limit_know_all (&a->firsts);
+  lc_cold_limit_know_all (&a->first_packets);
 }
 
 void
@@ -262,7 +263,7 @@
 
   if (a->view == NULL)
     return lc_flow_agent__drop (a, LC_DROP_NO_SERVICE);
-  if (a->desc.is_returning)
+  if (a->desc.returns_packets)
     return lc_flow_return_packet (a, e, packet, now_us);
   if (lc_flow_list_is_stale (a, e))
     is_renewed = lc_flow_list_renew (a, e, packet);
@@ -379,7 +380,7 @@
 lc_flow_agent_set_cold (LcFlowAgent *a, bool is_cold)
 {
   lc_cold_limit_set_cold (&a->gate.cold, is_cold);
-  lc_cold_limit_set_cold (&a->firsts, is_cold);
+  lc_cold_limit_set_cold (&a->first_packets, is_cold);
 }
 
 void
--- a/src/core/flow/lc-flow-agent.h
+++ b/src/core/flow/lc-flow-agent.h
@@ -60,20 +60,20 @@
   {
     LcCandidate self;
     LcServiceId service_id;
-    uint32_t connection_limit;   /* 0: 2000 */
-    uint32_t max_flows;          /* table entries of every kind; 0: 4 million */
-    int64_t udp_idle_us;         /* 0: 300 s */
-    int64_t tcp_idle_us;         /* 0: 2 h */
-    int64_t refresh_us;          /* 0: 60 s; pointers expire after 3.5 times this */
-    int64_t load_interval_us;    /* 0: 500 ms */
-    int64_t tell_min_us;         /* between reports of a changed load; 0: a tick */
-    uint32_t load_fanout;        /* peers that get each load report; 0: 16 */
-    uint32_t registrations_tick; /* resent registrations a tick; 0: 64 */
-    uint32_t backend_ipv4;       /* of the backend server, for hand-overs */
+    uint32_t connection_limit;    /* 0: 2000 */
+    uint32_t max_flows;           /* table entries of every kind; 0: 4 million */
+    int64_t udp_idle_us;          /* 0: 300 s */
+    int64_t tcp_idle_us;          /* 0: 2 h */
+    int64_t refresh_us;           /* 0: 60 s; pointers expire after 3.5 times this */
+    int64_t load_interval_us;     /* 0: 500 ms */
+    int64_t load_min_interval_us; /* between reports of a changed load; 0: a tick */
+    uint32_t load_fanout;         /* peers that get each load report; 0: 16 */
+    uint32_t registrations_tick;  /* resent registrations a tick; 0: 64 */
+    uint32_t backend_ipv4;        /* of the backend server, for hand-overs */
     uint16_t backend_port;
-    bool is_returning; /* backend servers return packets of unknown flows: lc-flow-return.h */
-    bool is_fresh;     /* the backend server started after this agent and holds no flow yet */
-    bool has_gate;     /* also queue requests while it has no free slot: lc-flow-gate.h */
+    bool returns_packets;  /* backend servers return packets of unknown flows: lc-flow-return.h */
+    bool is_backend_fresh; /* the backend server started after this agent and holds no flow yet */
+    bool has_gate;         /* also queue requests while it has no free slot: lc-flow-gate.h */
     LcFlowGateDesc gate;
     LcColdLimitDesc cold;
     LcAssignDesc assign;
@@ -93,9 +93,9 @@
     LC_FLOW_ACTION_SEND = 2, /* the envelope was rewritten; send it to ipv4 and port */
     LC_FLOW_ACTION_DROP = 3,
 
-    /* With desc.is_returning only: */
+    /* With desc.returns_packets only: */
     LC_FLOW_ACTION_TRY = 4,    /* give it to the backend server with try_mark; no owner known */
-    LC_FLOW_ACTION_SEARCH = 5, /* store it until its owner is found; try it here if is_here */
+    LC_FLOW_ACTION_SEARCH = 5, /* store it until its owner is found; try it here if is_local */
     LC_FLOW_ACTION_RESET = 6,  /* reset the caller: the flow can't be opened, for `reason` */
     LC_FLOW_ACTION_HOLD = 7,   /* queue it for `hold_flow` until lc_flow_return_next_held */
   } LcFlowActionKind;
@@ -123,8 +123,8 @@
       uint32_t hold_flow; /* index in the table */
       struct
       {
-        uint32_t place; /* store the packet under it: lc_flow_finder_next_try */
-        bool is_here;   /* also try it on the own backend server */
+        uint32_t slot; /* store the packet under it: lc_flow_finder_next_try */
+        bool is_local; /* also try it on the own backend server */
       } search;
     };
   } LcFlowAction;
@@ -140,19 +140,19 @@
   typedef struct
   {
     LcFlowAnswerKind kind;
-    int64_t after_us; /* since the packet it responds to; whole milliseconds */
+    int64_t elapsed_us; /* since the packet it responds to; whole milliseconds */
   } LcFlowAnswer;
 
   /* What to do with the packets held for a flow. */
   typedef struct
   {
-    uint32_t flow; /* as in LcFlowAction.hold_flow */
-    bool is_given; /* deliver them now; false: drop them */
+    uint32_t flow;    /* as in LcFlowAction.hold_flow */
+    bool is_released; /* deliver them now; false: drop them */
   } LcFlowHeld;
 
   typedef struct
   {
-    uint32_t place; /* LcFlowAction.search.place */
+    uint32_t slot; /* LcFlowAction.search.slot */
     LcCandidate owner;
   } LcFlowFound;
 
@@ -160,9 +160,9 @@
   {
     uint64_t delivered_total;
     uint64_t forwarded_total;
-    uint64_t taken_total;
-    uint64_t assigned_total; /* flows for which this agent chose the endpoint */
-    uint64_t passed_total;   /* of these, to another endpoint */
+    uint64_t accepted_total;
+    uint64_t assigned_total;      /* flows for which this agent chose the endpoint */
+    uint64_t assigned_away_total; /* of these, to another endpoint */
     uint64_t refused_total;
     uint64_t conflicts_total; /* a home refused the claim: another owner */
     uint64_t adopted_total;
@@ -171,7 +171,7 @@
     uint64_t returned_total; /* packets returned by the backend server */
     uint64_t searched_total; /* packets whose owner was searched for */
     uint64_t unowned_total;  /* searches that found no owner */
-    uint64_t asked_total;    /* query messages of search rounds */
+    uint64_t queries_total;  /* query messages of search rounds */
     uint64_t ejected_total;  /* times the backend server was ejected as an outlier */
     uint64_t dropped_total[LC_N_DROP_REASONS];
   } LcFlowAgentCounts;
@@ -193,7 +193,7 @@
     uint32_t n_behind;            /* owned, not yet registered with all current homes */
     uint32_t n_adopted;           /* owned, delivered to another agent's backend server */
     LcFlowGate gate;              /* requests in work and queued */
-    LcColdLimit firsts;           /* rate limit of first packets while it is cold */
+    LcColdLimit first_packets;    /* rate limit of first packets while it is cold */
     LcFlowReturners reconnects;
     GArray *held;      /* LcFlowHeld: decisions on held packets */
     uint32_t n_ended;  /* owned, not adopted, lingering for late packets after the last one */
@@ -222,7 +222,7 @@
     int64_t bytes_since_us;
     uint32_t byte_rate;
     GQueue *outbox;           /* LcFlowMessage, owned */
-    LcFlowSearches *searches; /* owned; NULL without desc.is_returning */
+    LcFlowSearches *searches; /* owned; NULL without desc.returns_packets */
     GArray *resets;           /* LcPacket: of flows that no backend server holds */
     GArray *found;            /* LcFlowFound: stored packets to send to their owners */
     LcFlowAgentCounts counts;
--- a/src/core/flow/lc-flow-finder.c
+++ b/src/core/flow/lc-flow-finder.c
@@ -131,7 +131,7 @@
   peer->asked_last_us = now_us;
   for (uint32_t k = 0; k < round->n; k++)
     m->entries[k].key = round->keys[k];
-  a->counts.asked_total++;
+  a->counts.queries_total++;
 }
 
 /* Whether it was queried and has sent nothing since for longer than an answer takes. */
@@ -284,9 +284,9 @@
   LcFlowAction action = { .kind = LC_FLOW_ACTION_SEARCH };
 
   search->home = e->mode == LC_MODE_FIND ? e->stray_id : 0;
-  action.search.place = lc_flow_search_place (a->searches, search);
-  action.search.is_here = !knows_all;
-  lc_flow_finder__try_unknown (a, e, action.search.place);
+  action.search.slot = lc_flow_search_place (a->searches, search);
+  action.search.is_local = !knows_all;
+  lc_flow_finder__try_unknown (a, e, action.search.slot);
   lc_flow_finder__ask (a, now_us);
   lc_flow_finder__take_lost (a);
   return action;
@@ -298,7 +298,7 @@
   LcFlowSearch *search = lc_flow_finder__begin (a, packet, true, now_us);
   LcFlowAction action = { .kind = LC_FLOW_ACTION_SEARCH };
 
-  action.search.place = lc_flow_search_place (a->searches, search);
+  action.search.slot = lc_flow_search_place (a->searches, search);
   lc_flow_finder__ask (a, now_us);
   lc_flow_finder__take_lost (a);
   return action;
@@ -329,7 +329,7 @@
     {
       LcFlowFound *found = &g_array_index (a->found, LcFlowFound, a->found->len - 1);
 
-      *next = (LcFlowTry){ .place = found->place, .n = 1, .to = { found->owner } };
+      *next = (LcFlowTry){ .slot = found->slot, .n = 1, .to = { found->owner } };
       g_array_set_size (a->found, a->found->len - 1);
       return true;
     }
@@ -345,7 +345,7 @@
       search->is_new_packet = false;
       if (next->n == 0)
         continue;
-      next->place = a->next_try_slot - 1;
+      next->slot = a->next_try_slot - 1;
       for (uint32_t i = 0; i < next->n; i++)
         next->to[i] = lc_assign_peer (&a->assign, ids[i])->agent;
       return true;
@@ -407,9 +407,9 @@
 {
   LcFlowFound found = { 0, *owner };
 
-  if (!lc_flow_search_found (a->searches, key, &found.place))
+  if (!lc_flow_search_found (a->searches, key, &found.slot))
     return;
-  lc_flow_finder_tell (a, a->searches->slots[found.place].home, key);
+  lc_flow_finder_tell (a, a->searches->slots[found.slot].home, key);
   g_array_append_val (a->found, found);
 }
 
--- a/src/core/flow/lc-flow-finder.h
+++ b/src/core/flow/lc-flow-finder.h
@@ -18,14 +18,14 @@
  *
  * COMPLETE KNOWLEDGE
  *   An agent has all flows of its backend server in its table when that one started after it
- *   (LcFlowAgentDesc.is_fresh), or when it has run for an idle timeout, as every live flow has
+ *   (LcFlowAgentDesc.is_backend_fresh), or when it has run for an idle timeout, as every live flow has
  *   passed by since.  Its answer is conclusive.  Otherwise the packet itself is sent to the backend
  *   server, which returns it if it does not hold the flow.
  *
  * HOW TO USE IT
  *   Called by lc-flow-return and lc-flow-agent alone, except
  *     while (lc_flow_finder_next_try (&agent, now_us, &next))
- *       send the packet stored under next.place to each of next.to
+ *       send the packet stored under next.slot to each of next.to
  *
  * LIFETIME
  *   As the agent.
@@ -53,7 +53,7 @@
 
   typedef struct
   {
-    uint32_t place; /* LcFlowAction.search.place */
+    uint32_t slot; /* LcFlowAction.search.slot */
     uint32_t n;
     LcCandidate to[LC_FLOW_SEARCH_MAX];
   } LcFlowTry;
@@ -78,7 +78,7 @@
   LcFlowAction lc_flow_finder_tried (LcFlowAgent *agent, const LcPacket *packet, int64_t now_us);
   /* Next packet of a search to send, and its targets; false: none.  Call it after each
    * LC_FLOW_ACTION_SEARCH and each tick until it returns false: which agents can't answer for their
-   * backend servers turns out later.  `place` is that of the action, under which the packet was
+   * backend servers turns out later.  `slot` is that of the action, under which the packet was
    * stored. */
   bool lc_flow_finder_next_try (LcFlowAgent *agent, int64_t now_us, LcFlowTry *next);
 
--- a/src/core/flow/lc-flow-pointers.c
+++ b/src/core/flow/lc-flow-pointers.c
@@ -55,7 +55,7 @@
   uint64_t hash = lc_flow_key_hash (&f->key);
   const LcSetMember *homes[LC_HOMES];
 
-  if (!a->desc.is_returning)
+  if (!a->desc.returns_packets)
     {
       lc_candidates_pick (sets, hash, regions, list);
       return;
@@ -233,7 +233,7 @@
   a->counts.conflicts_total++;
   /* If backend servers return packets, the one here may hold the flow nevertheless: the entry stays
    * so that a search tries it (lc-flow-finder.h). */
-  if (a->desc.is_returning && (f->flags & LC_FLOW_ANSWERED) != 0)
+  if (a->desc.returns_packets && (f->flags & LC_FLOW_ANSWERED) != 0)
     lc_flow_table_set_deadline (&a->table, f, now_us + a->desc.tcp_idle_us);
   else
     lc_flow_table_remove (&a->table, f);
--- a/src/core/flow/lc-flow-pointers.h
+++ b/src/core/flow/lc-flow-pointers.h
@@ -3,7 +3,7 @@
  * WHAT IT IS
  *   The part of lc-flow-agent that exchanges messages about flows.  The homes of a flow are the
  *   list that lc_candidates_pick computes from this agent's own sets (lc_candidates_near_homes with
- *   desc.is_returning); bit i of LcFlow.acked: entry i has acknowledged the registration.
+ *   desc.returns_packets); bit i of LcFlow.acked: entry i has acknowledged the registration.
  *
  * HOW TO USE IT
  *   Called by the modules of lc-flow-agent only.
--- a/src/core/flow/lc-flow-return.c
+++ b/src/core/flow/lc-flow-return.c
@@ -294,7 +294,7 @@
   if (lc_flow_return__is_owned (a, f, packet, now_us))
     {
       if (lc_flow_return__opens_again (f, packet))
-        lc_cold_limit_note (&a->firsts, now_us);
+        lc_cold_limit_note (&a->first_packets, now_us);
       lc_flow_return__remind_homes (a, f, e);
       if (lc_flow_return__must_wait (a, f, packet, now_us))
         return (LcFlowAction){ .kind = LC_FLOW_ACTION_HOLD,
@@ -396,7 +396,7 @@
     answer.kind = LC_FLOW_ANSWER_OPENED;
   else if ((f->flags & LC_FLOW_AT_WORK) != 0 && lc_flow_return__has_data (packet))
     answer.kind = LC_FLOW_ANSWER_BEGUN;
-  answer.after_us = (int64_t)(lc_flow_return__ms (now_us) - f->work_ms) * LC_US_PER_MS;
+  answer.elapsed_us = (int64_t)(lc_flow_return__ms (now_us) - f->work_ms) * LC_US_PER_MS;
   return answer;
 }
 
@@ -451,12 +451,12 @@
       g_array_remove_index (a->held, 0);
       return true;
     }
-  held->is_given = lc_flow_gate_next (&a->gate, now_us, &flow);
-  if (!held->is_given && !lc_flow_gate_give_up (&a->gate, now_us, &flow))
+  held->is_released = lc_flow_gate_next (&a->gate, now_us, &flow);
+  if (!held->is_released && !lc_flow_gate_give_up (&a->gate, now_us, &flow))
     return false;
   held->flow = flow;
   a->table.flows[flow].flags &= (uint8_t)~LC_FLOW_WAITING;
-  if (held->is_given)
+  if (held->is_released)
     a->table.flows[flow].work_ms = lc_flow_return__ms (now_us);
   else
     a->table.flows[flow].flags &= (uint8_t)~LC_FLOW_AT_WORK;
--- a/src/core/flow/lc-flow-return.h
+++ b/src/core/flow/lc-flow-return.h
@@ -17,7 +17,7 @@
  *   of them, and the other one returns the caller's packets.
  *
  * HOW TO USE IT
- *   Through lc_flow_agent_packet when desc.is_returning is set, and
+ *   Through lc_flow_agent_packet when desc.returns_packets is set, and
  *     action = lc_flow_return_returned (&agent, &envelope, &packet, now_us);
  *     answer = lc_flow_return_answered (&agent, &packet, now_us);
  *     while (lc_flow_return_next_held (&agent, &held, now_us))
--- a/src/io/lc-flow-meter.h
+++ b/src/io/lc-flow-meter.h
@@ -6,7 +6,7 @@
  *
  * HOW TO USE IT
  *     lc_flow_meter_add (&meter, &app->metrics, "lychee_flow_taken_total", "Flows taken", NULL,
- *                        &agent.counts.taken_total);
+ *                        &agent.counts.accepted_total);
  *     lc_flow_meter_bring (&meter);                       every so often
  *
  * LIFETIME
--- a/tests/flow/prop-cold-limit.cc
+++ b/tests/flow/prop-cold-limit.cc
@@ -83,7 +83,7 @@
 void
 set_cold (Load &l, int i)
 {
-  l.w.nodes[i].agent.firsts.desc = { OVERSHOOT_PERMILLE, SLACK };
+  l.w.nodes[i].agent.first_packets.desc = { OVERSHOOT_PERMILLE, SLACK };
   lc_flow_agent_set_cold (&l.w.nodes[i].agent, true);
 }
 
--- a/tests/flow/prop-flow-work.cc
+++ b/tests/flow/prop-flow-work.cc
@@ -107,7 +107,7 @@
 
     desc.self = { 1, 1, 101, 7100 };
     desc.service_id = 1;
-    desc.is_returning = true;
+    desc.returns_packets = true;
     desc.has_gate = true;
     desc.tcp_idle_us = 20 * LC_US_PER_S;
     lc_flow_agent_init (&agent, &desc, now_us);
--- a/tests/flow/return-world.c
+++ b/tests/flow/return-world.c
@@ -150,8 +150,8 @@
                                      7100 },
                            .service_id = 1,
                            .tcp_idle_us = w->idle_us,
-                           .is_fresh = is_fresh,
-                           .is_returning = true };
+                           .is_backend_fresh = is_fresh,
+                           .returns_packets = true };
 
   lc_flow_agent_init (&w->nodes[i].agent, &desc, w->now_us);
   lc_flow_agent_set_dc (&w->nodes[i].agent, w->nodes[i].dc);
@@ -303,7 +303,7 @@
   while (w->nodes[at].is_up && lc_flow_finder_next_try (&w->nodes[at].agent, w->now_us, &next))
     for (uint32_t i = 0; i < next.n; i++)
       {
-        LcPacket kept = w->nodes[at].kept[next.place];
+        LcPacket kept = w->nodes[at].kept[next.slot];
         LcEnvelope e;
 
         lc_flow_return_search (&w->nodes[at].agent, &next.to[i], &e);
@@ -319,9 +319,9 @@
   w->n_searches++;
   if (n->kept == NULL)
     n->kept = g_new0 (LcPacket, LC_FLOW_SEARCHES);
-  n->kept[action->search.place] = *p;
+  n->kept[action->search.slot] = *p;
   rw_try_searched (w, at);
-  if (action->search.is_here)
+  if (action->search.is_local)
     rw_backend (w, at, p, n->agent.desc.self.id);
 }
 
--- a/tests/flow/test-flow-finder.c
+++ b/tests/flow/test-flow-finder.c
@@ -274,8 +274,8 @@
   set_last_up (&w, SILENT[_i].n_silent, false);
   searcher = &w.nodes[0].agent;
   (void)search_for_lost_flows (&w, searcher, SILENT[_i].for_us, &most_at_once);
-  ck_assert_msg (searcher->counts.asked_total <= max_queries, "%s: %lu queries, %lu at most",
-                 SILENT[_i].what, (unsigned long)searcher->counts.asked_total,
+  ck_assert_msg (searcher->counts.queries_total <= max_queries, "%s: %lu queries, %lu at most",
+                 SILENT[_i].what, (unsigned long)searcher->counts.queries_total,
                  (unsigned long)max_queries);
   ck_assert_msg (most_at_once <= 2U * (uint32_t)SILENT[_i].n, "%s: %u queued at once",
                  SILENT[_i].what, most_at_once);
--- a/tests/flow/test-flow-owner.c
+++ b/tests/flow/test-flow-owner.c
@@ -48,10 +48,12 @@
 }
 
 static void
-start (World *w, bool is_returning)
+start (World *w, bool returns_packets)
 {
   LcViewOp service = { .revision = 1, .kind = LC_VIEW_SERVICE, .service = { .id = SERVICE } };
-  LcFlowAgentDesc desc = { .self = THIS, .service_id = SERVICE, .is_returning = is_returning };
+  LcFlowAgentDesc desc = { .self = THIS,
+                           .service_id = SERVICE,
+                           .returns_packets = returns_packets };
 
   lc_view_init (&w->view);
   ck_assert_int_eq (lc_view_apply (&w->view, &service, NULL), 0);
