--- a/src/core/flow/lc-flow-agent-private.h
+++ b/src/core/flow/lc-flow-agent-private.h
@@ -28,8 +28,8 @@
   /* Whether this agent is in a home region of the key's target address. */
   bool lc_flow_agent__is_home (const LcFlowAgent *agent, const LcFlowKey *key);
   bool lc_flow_agent__is_accepting (const LcFlowAgent *agent);
-  /* Whether the backend server may be given one more new flow now: it accepts flows, and if it is
-   * cold its rate is not used up. */
+  /* Whether the backend server may get one more flow now: it accepts flows and, if cold, its rate
+   * is not used up. */
   bool lc_flow_agent__may_take (const LcFlowAgent *agent, int64_t now_us);
   LcFlowAction lc_flow_agent__drop (LcFlowAgent *agent, LcDropReason reason);
   LcFlowAction lc_flow_agent__send (LcFlowAgent *agent,
--- a/src/core/flow/lc-flow-finder.h
+++ b/src/core/flow/lc-flow-finder.h
@@ -18,7 +18,7 @@
  *
  * COMPLETE KNOWLEDGE
  *   An agent has all flows of its backend server in its table when that one started after it
- *   (LcFlowAgentDesc.is_backend_fresh), or when it has run for an idle timeout, as every live flow has
+ *   (LcFlowAgentDesc.is_backend_fresh), or when it has run for an idle timeout: every live flow has
  *   passed by since.  Its answer is conclusive.  Otherwise the packet itself is sent to the backend
  *   server, which returns it if it does not hold the flow.
  *
@@ -66,7 +66,7 @@
   /* Sends the flow's owner to the home that forwarded a packet without knowing it.  If the owner's
    * view is old, each of its packets would take this detour otherwise. */
   void lc_flow_finder_tell (LcFlowAgent *agent, LcEndpointId home, const LcFlowKey *key);
-  /* Begins or continues a search here for the owner of a packet that came in this envelope. */
+  /* Searches here for the owner of a packet that came in this envelope. */
   LcFlowAction lc_flow_finder_search (LcFlowAgent *agent,
                                       const LcEnvelope *envelope,
                                       const LcPacket *packet,
@@ -76,10 +76,9 @@
   lc_flow_finder_search_returned (LcFlowAgent *agent, const LcPacket *packet, int64_t now_us);
   /* Handles a packet of a search that the own backend server returned: informs the searcher. */
   LcFlowAction lc_flow_finder_tried (LcFlowAgent *agent, const LcPacket *packet, int64_t now_us);
-  /* Next packet of a search to send, and its targets; false: none.  Call it after each
-   * LC_FLOW_ACTION_SEARCH and each tick until it returns false: which agents can't answer for their
-   * backend servers turns out later.  `slot` is that of the action, under which the packet was
-   * stored. */
+  /* Next packet of a search to send, and its targets; false: none.  Call it until then after each
+   * LC_FLOW_ACTION_SEARCH and each tick: it turns out later which agents' knowledge is incomplete.
+   * `slot` is the action's, under which the packet was stored. */
   bool lc_flow_finder_next_try (LcFlowAgent *agent, int64_t now_us, LcFlowTry *next);
 
   /* Records a message of any kind from a peer; whether it had left queries unanswered before. */
@@ -92,7 +91,7 @@
   void lc_flow_finder_asked (LcFlowAgent *agent, const LcFlowMessage *message);
   void lc_flow_finder_answered (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
 
-  /* Updates the members to account for; call it when the service changed or time has passed. */
+  /* Updates the members to account for, after a change of the service or of the time. */
   void lc_flow_finder_set_members (LcFlowAgent *agent, int64_t now_us);
   void lc_flow_finder_tick (LcFlowAgent *agent, int64_t now_us);
   LcFlowKnowledge lc_flow_finder_knowledge (const LcFlowAgent *agent, int64_t now_us);
--- a/src/core/flow/lc-flow-pointers.c
+++ b/src/core/flow/lc-flow-pointers.c
@@ -231,8 +231,8 @@
 {
   lc_flow_pointers_disown (a, f);
   a->counts.conflicts_total++;
-  /* If backend servers return packets, the one here may hold the flow nevertheless: the entry stays
-   * so that a search tries it (lc-flow-finder.h). */
+  /* A backend server that returns packets may still hold the flow: the entry stays, so that a
+   * search tries it (lc-flow-finder.h). */
   if (a->desc.returns_packets && (f->flags & LC_FLOW_ANSWERED) != 0)
     lc_flow_table_set_deadline (&a->table, f, now_us + a->desc.tcp_idle_us);
   else
@@ -409,7 +409,7 @@
 
 /* === public: hand-over ====================================================================== */
 
-/* The agent that takes over a leaving agent's flow: its first home other than this agent. */
+/* The agent that takes over a leaving agent's flow: its first other home. */
 static bool
 lc_flow_pointers__adopter (const LcFlowAgent *a, const LcFlow *f, LcCandidate *out)
 {
--- a/src/core/flow/lc-flow-pointers.h
+++ b/src/core/flow/lc-flow-pointers.h
@@ -29,34 +29,34 @@
   void lc_flow_pointers_start (LcFlowAgent *agent, LcFlow *flow);
   /* Finds the homes that lack a pointer after a change of the candidate sets. */
   void lc_flow_pointers_sets_changed (LcFlowAgent *agent);
-  /* Unregisters an ended flow with one message to each home; if it is lost, the pointers expire. */
+  /* Unregisters an ended flow, once; pointers expire if the message is lost. */
   void lc_flow_pointers_end (LcFlowAgent *agent, LcFlow *flow);
   /* Sends the registrations that are due, oldest first. */
   void lc_flow_pointers_flush (LcFlowAgent *agent, int64_t now_us);
 
-  /* Handlers of LC_FLOW_POINTERS, CONTEST, POINTERS_ACK, HAND_OVER and HAND_OVER_ACK. */
+  /* Message handlers. */
   void lc_flow_pointers_register (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
   void lc_flow_pointers_contested (LcFlowAgent *agent, const LcFlowMessage *message);
   void lc_flow_pointers_acked (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
   void lc_flow_pointers_adopt (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
   void lc_flow_pointers_adopted (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
 
-  /* Offers owned flows of a leaving agent to adopters, and adopted flows back to the endpoint they
-   * came from once it has a new process; at most `budget` a call. */
+  /* Offers owned flows of a leaving agent to adopters, and adopted flows to their endpoint's new
+   * process; at most `budget` a call. */
   void lc_flow_pointers_hand_over (LcFlowAgent *agent, uint32_t budget, int64_t now_us);
 
   /* Ends ownership without a message to the homes. */
   void lc_flow_pointers_disown (LcFlowAgent *agent, LcFlow *flow);
 
-  /* Stores a pointer to the owner that another agent reported.  False: the flow is owned here, or
-   * that owner is gone in the view, or the table is full. */
+  /* Stores a pointer to a reported owner.  False: the flow is owned here, that owner is gone in the
+   * view, or the table is full. */
   bool lc_flow_pointers_learn (LcFlowAgent *agent,
                                const LcFlowKey *key,
                                const LcCandidate *owner,
                                LcRevision revision,
                                int64_t now_us);
 
-  /* Adds an entry to a queued message of this kind to this agent, or to a new one. */
+  /* Adds an entry to a queued message of this kind, or to a new one. */
   LcFlowEntry *
   lc_flow_pointers_entry (LcFlowAgent *agent, LcFlowMessageKind kind, const LcCandidate *to);
   LcFlowMessage *
--- a/src/core/flow/lc-flow-search.c
+++ b/src/core/flow/lc-flow-search.c
@@ -132,8 +132,8 @@
   search->is_used = false;
 }
 
-/* Ends the search as lost if all members are ruled out.  If an answer had a newer roster, an
- * endpoint that is unknown here may hold the flow. */
+/* Ends the search if all members are ruled out, unless an answer had a newer roster: an endpoint
+ * that is unknown here may hold the flow. */
 static void
 lc_flow_search__end_if_lost (LcFlowSearches *s, LcFlowSearch *search)
 {
@@ -309,8 +309,7 @@
   return search;
 }
 
-/* Chooses up to LC_FLOW_SEARCH_MAX members that may get the packet, have not had it and are not in
- * `excluded`; adds them to `tried`. */
+/* Chooses members that may get the packet and are in neither `tried` nor `excluded`. */
 static uint32_t
 lc_flow_search__pick (const LcFlowSearches *s,
                       LcFlowSearch *search,
--- a/src/core/flow/lc-flow-search.h
+++ b/src/core/flow/lc-flow-search.h
@@ -144,7 +144,7 @@
                                      uint32_t n,
                                      LcRevision membership);
 
-  /* Begins a search for the packet's flow, or stores the packet in the one under way. */
+  /* Begins a search for the packet's flow, or adds the packet to the one under way. */
   LcFlowSearch *
   lc_flow_search_begin (LcFlowSearches *searches, const LcPacket *packet, int64_t now_us);
   bool lc_flow_search_is_running (LcFlowSearches *searches, const LcFlowKey *key, int64_t now_us);
@@ -169,15 +169,14 @@
   void lc_flow_search_doubt (LcFlowSearches *searches,
                              const LcFlowKey *key,
                              const LcFlowSearchMember *member);
-  /* Ends the search as the owner is known, and returns its slot in `slot`; false: no search. */
+  /* Ends the search and returns its `slot`, as the owner is known; false: no search. */
   bool lc_flow_search_found (LcFlowSearches *searches, const LcFlowKey *key, uint32_t *slot);
 
   /* The next round to send or resend, marked as sent now; NULL: none. */
   const LcFlowRound *lc_flow_search_round (LcFlowSearches *searches, int64_t now_us);
   /* Whether the member has not answered the round. */
   bool lc_flow_search_is_asked (const LcFlowRound *round, uint32_t member);
-  /* The next round under way that this member has not answered, from `*at` (0 at first) on; NULL:
-   * none. */
+  /* The next round that this member has not answered, from `*at` (0 at first) on, or NULL. */
   const LcFlowRound *lc_flow_search_unanswered (const LcFlowSearches *searches,
                                                 const LcFlowSearchMember *member,
                                                 uint32_t *at);
--- a/tests/flow/prop-flow-return.cc
+++ b/tests/flow/prop-flow-return.cc
@@ -26,7 +26,7 @@
   N_KINDS
 };
 
-/* Endpoints of a service that is large enough for searches in rounds. */
+/* Endpoints; enough for searches in rounds. */
 const int N_LARGE = 40;
 const int N_COPIES = 5; /* of a packet, sent at 0, 0.2, 0.6, 1.4 and 3 s */
 
--- a/tests/flow/return-world.h
+++ b/tests/flow/return-world.h
@@ -59,7 +59,7 @@
   LcPacket rw_packet_of (uint32_t flow, bool may_open);
   uint32_t rw_flow_of (const LcPacket *p);
   void rw_put_endpoint (RwWorld *w, int i, LcEndpointState state);
-  /* Moves the endpoint and its agent to a data centre; 0, the initial one: none. */
+  /* Moves the endpoint and its agent to a data centre; 0 (initial): none. */
   void rw_place (RwWorld *w, int i, LcDcId dc);
   /* Changes the newest view only, until it is shown. */
   void rw_evacuate (RwWorld *w, LcDcId dc, bool is_evacuated);
@@ -82,7 +82,7 @@
   void rw_start_sized (RwWorld *w, int n, int n_agents, bool is_fresh);
   void rw_stop (RwWorld *w);
   uint32_t rw_n_held (const RwWorld *w, uint32_t flow);
-  /* Advances the time, ticks each agent once and delivers messages until there are none. */
+  /* Advances the time, ticks each agent and delivers messages until there are none. */
   void rw_pass (RwWorld *w, int64_t us);
   /* rw_pass of 300 ms. */
   void rw_settle (RwWorld *w);
@@ -91,7 +91,7 @@
   /* Sends a caller's packet through the balancer; 0, or the balancer's error. */
   int rw_send (RwWorld *w, const LcPacket *p);
   void rw_open_flows (RwWorld *w);
-  /* Asserts that a packet of each flow reaches the one backend server that holds it. */
+  /* Asserts that a packet of each flow reaches its one owner. */
   void rw_check_all_reach (RwWorld *w, const char *what);
 
 #ifdef __cplusplus
--- a/tests/flow/test-flow-finder.c
+++ b/tests/flow/test-flow-finder.c
@@ -109,7 +109,7 @@
   return n_delivered (w) > before;
 }
 
-/* Flows must not be reset or lose their way when agents restart, views lag or messages get lost. */
+/* Held flows are reached, not reset, after agent restarts, lagging views and lost messages. */
 START_TEST (test_held_flows_are_reached)
 {
   int n_more = HELD[_i].event == STALE_OWNERS ? 30 : 0;
@@ -137,8 +137,7 @@
 }
 END_TEST
 
-/* Every caller must get a reset when all backend servers lost their flows at once, for a bounded
- * number of messages. */
+/* After a loss of all flows at once every caller is reset, with a bounded number of messages. */
 static const struct
 {
   const char *what;
--- a/tests/flow/test-flow-homes.c
+++ b/tests/flow/test-flow-homes.c
@@ -1,4 +1,4 @@
-/* Home regions of addresses: new flows go to these regions only, open flows stay where they are. */
+/* Home regions: new flows go there only, open flows stay where they are. */
 #include "core/control/lc-home-check.h"
 #include "core/member/lc-scope.h"
 #include "return-world.h"
@@ -54,8 +54,8 @@
   { "a name that another begins with", "northern,sou", 4, true, 0, false, false, 0 },
 };
 
-/* New flows stay in the home regions, also with lagging views and while home endpoints are full: a
- * first packet that one of them returns may have no other endpoint to go to. */
+/* New flows stay in the home regions, even if views lag, or if all endpoints there are full and a
+ * returned first packet can go nowhere. */
 START_TEST (test_new_flows_stay_in_home_regions)
 {
   RwWorld w;
@@ -83,7 +83,7 @@
 }
 END_TEST
 
-/* A caller gets a reset at once if no endpoint is in a home region. */
+/* Without an endpoint in a home region a caller is reset at once. */
 START_TEST (test_no_home_resets_at_once)
 {
   RwWorld w;
@@ -99,7 +99,7 @@
 }
 END_TEST
 
-/* Open flows stay at their endpoints when the homes change; a restarted agent finds them. */
+/* Open flows survive changes of the homes and an agent restart. */
 START_TEST (test_open_flows_survive_home_changes)
 {
   static const char *const HOMES[] = { "north", "south", "east", "" };
@@ -202,7 +202,7 @@
   *(int *)user += op->kind == LC_VIEW_ADDRESS;
 }
 
-/* Agents get the addresses of their own service that have homes, and the removals of these. */
+/* Agents get addresses with homes, and their removals, of their own service. */
 START_TEST (test_scope_wants_only_addresses_with_homes)
 {
   static const struct
@@ -243,7 +243,7 @@
 
 /* === input validation ======================================================================== */
 
-/* lc_homes_add ignores a repeated name; an invalid or over-long one leaves the list as it was. */
+/* A repeated name, or an invalid or over-long one, leaves the list as it was. */
 START_TEST (test_homes_add)
 {
   static const struct
@@ -277,7 +277,7 @@
 }
 END_TEST
 
-/* A declaration with a region that neither a data centre nor the settings name is refused. */
+/* A region that neither a data centre nor the settings name is refused. */
 START_TEST (test_unknown_regions_are_refused)
 {
   static const struct
--- a/tests/flow/test-flow-owner.c
+++ b/tests/flow/test-flow-owner.c
@@ -5,9 +5,8 @@
  *   addressed to an earlier process at this address, was not looked up; its walk ended here, and
  *   the owned entry was overwritten with a PENDING one ("packet 1 walk to 11#11 hop 2 of 3" at
  *   endpoint 3#12: "owned (flags c) -> pending (flags 0)"), which cleared its flag for the queue
- *   but not its links.  A crash breaks every flow of the backend server; without one the agent
- *   loses a flow that its backend server holds.  If the walk named the agent itself as the
- *   assigner, the owned flow was assigned again. */
+ *   but not its links.  Without the crash, which breaks all flows of the backend server, the
+ *   agent loses one flow; if it was itself the walk's assigner, it assigned the flow again. */
 #include "core/flow/lc-flow-agent.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -155,8 +154,7 @@
 }
 END_TEST
 
-/* A first packet for an ended flow of a leaving agent goes to another endpoint, and the entry
- * leaves the queue and the counts. */
+/* A first packet for an ended flow of a leaving agent goes elsewhere, and its entry is dequeued. */
 START_TEST (test_leaving_agent_reassigns_ended_flow)
 {
   LcEnvelope e = envelope_for (&THIS, LC_MODE_WALK);
--- a/tests/flow/test-flow-return.c
+++ b/tests/flow/test-flow-return.c
@@ -72,7 +72,7 @@
   rw_show_view (w);
 }
 
-/* Packets of open flows must reach their owners after each event, and nothing may be reset. */
+/* Packets of open flows reach their owners after each event, without a reset. */
 START_TEST (test_open_flows_are_found)
 {
   RwWorld w;
@@ -94,7 +94,7 @@
 }
 END_TEST
 
-/* A leaving endpoint gets no new flow, even from a balancer and agents with an old view. */
+/* A leaving endpoint gets no new flow, even from peers with an old view. */
 START_TEST (test_new_flows_avoid_leaving_endpoint)
 {
   RwWorld w;
@@ -110,7 +110,7 @@
 }
 END_TEST
 
-/* An agent takes new flows again after a leave request that concerned an earlier backend server. */
+/* A leave request for an earlier backend server can be cancelled. */
 START_TEST (test_cancelled_leave_takes_new_flows)
 {
   RwWorld w;
@@ -140,8 +140,8 @@
   { "a retransmission gets no reset", 3, 1, 0, 0 },
 };
 
-/* A first packet that a full backend server returns goes to another, and is reset when all are
- * full, unless it is a retransmission. */
+/* A returned first packet goes to another endpoint; when all are full, it is reset unless it is a
+ * retransmission. */
 START_TEST (test_returned_first_packets_are_reassigned)
 {
   uint32_t n = 0;
@@ -267,7 +267,7 @@
   { "answered late", LC_REACH_SUSPECT_US + 1000, LC_REACH_SUSPECT_US + 2000, false },
 };
 
-/* An agent is suspect if it has not answered a probe in time, and no longer once it answers. */
+/* An agent is suspect until it answers a probe that timed out. */
 START_TEST (test_reach_suspects)
 {
   LcCandidate to = { .id = 1, .ipv4 = 5, .port = 7100 };
@@ -384,7 +384,7 @@
     }
 }
 
-/* Callers get a reset only if every endpoint is accounted for. */
+/* A reset needs every endpoint to be accounted for. */
 START_TEST (test_lost_flows_are_reset)
 {
   uint32_t n_resets;
@@ -410,8 +410,7 @@
 }
 END_TEST
 
-/* A search ends only when all members denied the flow, and waits for the newest roster in their
- * answers: that may have another endpoint. */
+/* A search needs denials of all members, and of those of the newest roster in the answers. */
 START_TEST (test_search_needs_all_denials)
 {
   static const LcFlowSearchMember MEMBERS[] = { { 1, 11 }, { 2, 12 }, { 3, 13 }, { 4, 14 } };
@@ -463,7 +462,7 @@
 }
 END_TEST
 
-/* A denial counts for its address only: the endpoint may have had flows at the new one already. */
+/* A denial counts for its address only: the endpoint may already hold flows at the new one. */
 START_TEST (test_denial_from_another_address)
 {
   static const LcFlowSearchMember BEFORE[] = { { 1, 11 }, { 2, 12 } };
@@ -486,7 +485,7 @@
 END_TEST
 
 /* A flow must be found at an endpoint that only itself and the balancer have in their views, after
- * its agent restarted.  Property tests found this order of events with seed 5. */
+ * its agent restarted (found by property tests, seed 5). */
 START_TEST (test_owner_missing_in_other_views)
 {
   RwWorld w;
@@ -508,8 +507,7 @@
 }
 END_TEST
 
-/* An absent backend server looks like the least loaded one: the first packets that it returns must
- * stop new flows to it. */
+/* An absent backend server looks least loaded: returned first packets must stop new flows to it. */
 static const struct
 {
   const char *what;
