--- a/src/core/flow/lc-flow-finder.c
+++ b/src/core/flow/lc-flow-finder.c
@@ -25,8 +25,8 @@
 }
 
 /* Whether a search waits for this endpoint.  One that is LOST in the view may be alive and cut
- * off; after LC_FLOW_LOST_US its callers are better served by a new flow, and so are those of an
- * endpoint that does not answer. */
+ * off; after LC_FLOW_LOST_US its callers are better served by a new flow, and so are
+ * those of an endpoint that does not answer. */
 static bool
 lc_flow_finder__is_awaited (const LcAssignPeer *p, int64_t now_us)
 {
--- a/src/core/flow/lc-flow-finder.h
+++ b/src/core/flow/lc-flow-finder.h
@@ -7,8 +7,8 @@
  *   endpoint of the service (lc-flow-search.h): either the owner is found, or no backend server
  *   holds the flow and its caller gets a reset.
  *
- *   In a service of up to LC_FLOW_FINDER_DIRECT endpoints the agent at the end of the walk searches
- *   and sends the packet to all of them.  In a larger one it passes the packet to one of
+ *   In a service of up to LC_FLOW_FINDER_DIRECT endpoints the agent at the end of the walk
+ *   searches and sends the packet to all of them.  In a larger one it passes the packet to one of
  *   LC_FLOW_FINDER_SHARDS searchers, chosen by the flow's hash, which queries agents in rounds:
  *   messages a second are then at most shards x rounds x endpoints x 2 (163 endpoints: 104,000
  *   while every caller of the service searches; 64 packets and as many answers for each single flow
--- a/src/core/flow/lc-flow-returners.h
+++ b/src/core/flow/lc-flow-returners.h
@@ -5,8 +5,8 @@
  *   something: a search finds no owner, the caller gets a reset and opens a new flow.  Its first
  *   request there is a repeated one, often from the beginning of an outage, but the new flow looks
  *   as young as any.  Every agent of the service takes part in the search; this module keeps the
- *   callers' addresses for LC_FLOW_RETURN_US, so that the new flow's first request can be ranked by
- *   its real age.
+ *   callers' addresses for LC_FLOW_RETURN_US, so that the new flow's first request can be ranked
+ *   by its real age.
  *
  * LOAD PATTERN
  *   The half second after an outage, in which as many callers reconnect as are new: with equal
@@ -22,8 +22,8 @@
  *
  * LIMITS
  *   LC_FLOW_RETURNERS_MAX callers, the oldest is overwritten; each counts for one flow within
- *   LC_FLOW_RETURN_US.  Callers that share an address can't be distinguished: one lost flow ranks
- *   one new flow of any of them lower, which matters only while requests are queued.
+ *   LC_FLOW_RETURN_US.  Callers that share an address can't be distinguished: one lost flow
+ *   ranks one new flow of any of them lower, which matters only while requests are queued.
  */
 #ifndef LC_FLOW_RETURNERS_H
 #define LC_FLOW_RETURNERS_H
--- a/src/core/flow/lc-flow-search.h
+++ b/src/core/flow/lc-flow-search.h
@@ -30,8 +30,8 @@
  *   The searches own copies of all they are given.
  *
  * LIMITS
- *   LC_FLOW_SEARCHES at a time; a newer one replaces the oldest of the LC_FLOW_SEARCH_WAYS slots of
- *   its hash, whose caller has to send another packet.  In a service of more than
+ *   LC_FLOW_SEARCHES at a time; a newer one replaces the oldest of the LC_FLOW_SEARCH_WAYS
+ *   slots of its hash, whose caller has to send another packet.  In a service of more than
  *   LC_FLOW_SEARCH_MEMBERS endpoints owners are found, but no flow is ever reported as unowned.
  *   An answer from a member with a newer roster (`membership`: the revision of its newest endpoint)
  *   holds the search open until that endpoint is in the list here, too.  Restarts and losses of
--- a/tests/flow/return-world.h
+++ b/tests/flow/return-world.h
@@ -59,7 +59,7 @@
   LcPacket rw_packet_of (uint32_t flow, bool may_open);
   uint32_t rw_flow_of (const LcPacket *p);
   void rw_put_endpoint (RwWorld *w, int i, LcEndpointState state);
-  /* Moves the endpoint and its agent to a data centre; 0 (initial): none. */
+  /* Moves the endpoint and its agent to a data centre; 0, the initial one: none. */
   void rw_place (RwWorld *w, int i, LcDcId dc);
   /* Changes the newest view only, until it is shown. */
   void rw_evacuate (RwWorld *w, LcDcId dc, bool is_evacuated);
--- a/tests/flow/test-flow-owner.c
+++ b/tests/flow/test-flow-owner.c
@@ -1,11 +1,11 @@
 /* An agent keeps its owned flows, whichever packet reaches its address.
  *
- *   Guards against a crash in lc_flow_pointers_flush, where the queue of registrations had a count
- *   and no head.  The agent owned a flow that was still queued.  A second copy of its first packet,
- *   addressed to an earlier process at this address, was not looked up; its walk ended here, and
- *   the owned entry was overwritten with a PENDING one ("packet 1 walk to 11#11 hop 2 of 3" at
- *   endpoint 3#12: "owned (flags c) -> pending (flags 0)"), which cleared its flag for the queue
- *   but not its links.  Without the crash, which breaks all flows of the backend server, the
+ *   Guards against a crash in lc_flow_pointers_flush, where the queue of registrations had a
+ *   count and no head.  The agent owned a flow that was still queued.  A second copy of its first
+ *   packet, addressed to an earlier process at this address, was not looked up; its walk ended
+ *   here, and the owned entry was overwritten with a PENDING one ("packet 1 walk to 11#11 hop 2 of
+ *   3" at endpoint 3#12: "owned (flags c) -> pending (flags 0)"), which cleared its flag for the
+ *   queue but not its links.  Without the crash, which breaks all flows of the backend server, the
  *   agent loses one flow; if it was itself the walk's assigner, it assigned the flow again. */
 #include "core/flow/lc-flow-agent.h"
 #include "tests/fakes/lc-fake-run.h"
