--- a/src/core/filter/lc-filter-answer.h
+++ b/src/core/filter/lc-filter-answer.h
@@ -1,7 +1,7 @@
-/* lc-filter-answer: what a caller is told when there is no answer to give.
+/* lc-filter-answer: the HTTP error response for a failed request.
  *
  * WHAT IT IS
- *   Maps a reason and an outcome to an HTTP status and to when the caller may come back; see
+ *   Maps a reason and an outcome to an HTTP status, texts and the time for Retry-After; see
  *   docs/CALLERS.md for the contract.
  */
 #ifndef LC_FILTER_ANSWER_H
@@ -18,7 +18,7 @@
   {
     uint16_t status;
     LcOutcome outcome;
-    int64_t retry_after_us; /* 0: don't say */
+    int64_t retry_after_us; /* 0: omit Retry-After */
     const char *message;
     const char *remedy;
   } LcCallerAnswer;
--- a/src/core/filter/lc-filter-attempt.c
+++ b/src/core/filter/lc-filter-attempt.c
@@ -14,7 +14,7 @@
   };
 }
 
-/* An endpoint not tried yet. */
+/* Picks an endpoint not tried yet. */
 static LcPickTarget *
 lc_filter_attempt__choose (const LcAttemptPlanning *planning)
 {
@@ -26,8 +26,7 @@
   return lc_pick_choose (planning->pick, planning->random, tried, n_tried, planning->now_us);
 }
 
-/* Whether an endpoint not tried yet may become reachable; `is_soon`: within moments, since its link
- * is being made. */
+/* Whether an endpoint not tried yet may become reachable; `is_soon`: its link is connecting. */
 static bool
 lc_filter_attempt__may_wait (const LcAttemptPlanning *planning, bool is_soon)
 {
@@ -51,7 +50,7 @@
   if (planning->attempt->n_attempts >= LC_ATTEMPT_MAX)
     return lc_filter_attempt__end (LC_REFUSE_NO_ENDPOINT);
   target = lc_filter_attempt__choose (planning);
-  /* All that wait when the first of several links is up would queue at that one endpoint. */
+  /* When the first of several links is up, all waiting requests would queue at that endpoint. */
   if (target != NULL && lc_pick_is_full (planning->pick, target, planning->now_us) &&
       lc_filter_attempt__may_wait (planning, true))
     return (LcAttemptPlan){ .kind = LC_PLAN_WAIT };
@@ -92,7 +91,7 @@
   target = lc_filter_attempt__choose (planning);
   if (target == NULL && step->reason == LC_REFUSE_LINK_LOST &&
       lc_filter_attempt__may_wait (planning, false) && lc_retry_take (planning->budget))
-    return (LcAttemptPlan){ .kind = LC_PLAN_WAIT }; /* links are being made again */
+    return (LcAttemptPlan){ .kind = LC_PLAN_WAIT }; /* links are reconnecting */
   if (target == NULL)
     return lc_filter_attempt__end (step->reason);
   if (!lc_filter_attempt__is_free (step) && !lc_retry_take (planning->budget))
--- a/src/core/filter/lc-filter-attempt.h
+++ b/src/core/filter/lc-filter-attempt.h
@@ -1,8 +1,8 @@
-/* lc-filter-attempt: where the next attempt of a request goes.
+/* lc-filter-attempt: decides where the next attempt of a request is sent.
  *
  * WHAT IT IS
- *   Turns a step of lc-attempt into a target, within the retry budget and the endpoints that are
- *   left, or into the end of the request.
+ *   Turns a step of lc-attempt into a target, within the retry budget and the remaining endpoints,
+ *   or into the end of the request.
  */
 #ifndef LC_FILTER_ATTEMPT_H
 #define LC_FILTER_ATTEMPT_H
@@ -18,8 +18,8 @@
 
   typedef enum
   {
-    LC_PLAN_SEND = 1, /* to `target` */
-    LC_PLAN_WAIT = 2, /* for an endpoint to be reachable */
+    LC_PLAN_SEND = 1, /* to `ref` */
+    LC_PLAN_WAIT = 2, /* until an endpoint is reachable */
     LC_PLAN_END = 3,  /* give up with `reason` */
   } LcAttemptPlanKind;
 
@@ -42,10 +42,10 @@
     int64_t now_us;
   } LcAttemptPlanning;
 
-  /* The first attempt, and again after waiting. */
+  /* Plans the first attempt, also after LC_PLAN_WAIT. */
   LcAttemptPlan lc_filter_attempt_first (const LcAttemptPlanning *planning);
 
-  /* After LC_STEP_RETRY or LC_STEP_OWNER. */
+  /* Plans the attempt after LC_STEP_RETRY or LC_STEP_OWNER. */
   LcAttemptPlan lc_filter_attempt_next (const LcAttemptPlanning *planning, const LcStep *step);
 
 #ifdef __cplusplus
--- a/src/core/filter/lc-filter-claim.c
+++ b/src/core/filter/lc-filter-claim.c
@@ -1,4 +1,4 @@
-/* claim: the key under which a request may run at most once. */
+/* claim: sets the idempotency key under which a request runs at most once. */
 #include "lc-filter.h"
 
 static bool
@@ -9,8 +9,8 @@
          lc_slice_is (method, "OPTIONS", 7);
 }
 
-/* Without a key of the caller one is made from the id: it covers our own retries, and the caller
- * can ask for it later. */
+/* Without a key from the caller one is derived from the id: it covers the balancer's own retries,
+ * and the caller can query it later. */
 LcFilterVerdict
 lc_filter_claim (LcFilterRequest *request)
 {
--- a/src/core/filter/lc-filter-deadline.c
+++ b/src/core/filter/lc-filter-deadline.c
@@ -1,4 +1,4 @@
-/* deadline: when the caller must have its answer. */
+/* deadline: sets when the caller must have its answer. */
 #include "core/request/lc-deadline.h"
 #include "lc-filter.h"
 
--- a/src/core/filter/lc-filter-identify.c
+++ b/src/core/filter/lc-filter-identify.c
@@ -1,4 +1,4 @@
-/* identify: gives the request its id and reads what the caller says of it. */
+/* identify: sets the request's id and checks the caller's key and timeout. */
 #include "lc-filter.h"
 
 #include <string.h>
--- a/src/core/filter/lc-filter-limit.c
+++ b/src/core/filter/lc-filter-limit.c
@@ -1,4 +1,4 @@
-/* limit: requests in flight, for each caller and each service. */
+/* limit: refuses requests beyond the in-flight limits of their caller or service. */
 #include "lc-filter.h"
 
 LcFilterVerdict
--- a/src/core/filter/lc-filter-route.c
+++ b/src/core/filter/lc-filter-route.c
@@ -1,4 +1,4 @@
-/* route: finds the service, by host and path or, for a question, by what it asks for. */
+/* route: finds the service, by host and path or, for a status query, by the queried key. */
 #include "lc-filter.h"
 
 #include <string.h>
@@ -11,8 +11,8 @@
   };
 }
 
-/* ".../requests/<32 digits>" names a key by itself; ".../requests/<service>/<key text>" names the
- * service and the Idempotency-Key as the caller sent it. */
+/* ".../requests/<32 digits>" is a key itself; ".../requests/<service>/<key text>" has the service's
+ * name and the Idempotency-Key as the caller sent it. */
 static LcFilterVerdict
 lc_route__ask (LcFilterRequest *request, const LcView *view)
 {
--- a/src/core/filter/lc-filter.h
+++ b/src/core/filter/lc-filter.h
@@ -1,24 +1,25 @@
-/* lc-filter: the chain that each request passes at a balancer.
+/* lc-filter: the filter chain for requests at a balancer.
  *
  * WHAT IT IS
- *   Seven small filters in a fixed order.  The first five look at the request once, when it has
- *   arrived whole; each fills in what it finds out and may refuse the request:
- *     identify   id, idempotent or not, the caller's key and timeout
- *     route      host and path to a service
+ *   Seven filters in a fixed order.  The first five run once, when the request has arrived
+ *   completely; each sets fields of the request and may refuse it:
+ *     identify   id, the caller's key and timeout, whether it is a status query
+ *     route      the service, by host and path
  *     deadline   when the caller must have its answer (needs the service's timeout)
- *     limit      per caller and per service, in flight
- *     claim      the key under which it may run at most once
- *   The last two run at each event of the request:
- *     attempt    where the next attempt goes, or why there is none (lc-filter-attempt.h)
- *     answer     what the caller is told (lc-filter-answer.h)
+ *     limit      requests in flight, per caller and per service
+ *     claim      the idempotency key under which it runs at most once; none if idempotent
+ *   The last two run later, as needed:
+ *     attempt    where the next attempt is sent, or why not (lc-filter-attempt.h)
+ *     answer     the error response for the caller (lc-filter-answer.h)
  *
  * HOW TO USE IT
  *     LcFilterRequest request = { .method = ..., .now_us = now };
- *     LcFilterVerdict verdict = lc_filter_run (&request, view, find_limit, user);
- *     if (verdict.kind == LC_FILTER_REFUSE) ... lc_filter_answer_refused (...)
+ *     LcFilterContext context = { view, find_limit, user };
+ *     LcFilterVerdict verdict = lc_filter_run (&request, &context);
+ *     if (verdict.kind == LC_FILTER_REFUSE) ... respond with verdict.status and verdict.message
  *
  * LIFETIME
- *   Strings belong to the caller and are not kept; `service` is valid until the view changes.
+ *   Strings are borrowed; `service` is valid until the view changes.
  */
 #ifndef LC_FILTER_H
 #define LC_FILTER_H
@@ -48,7 +49,7 @@
 
   typedef struct
   {
-    /* From the caller. */
+    /* Input. */
     LcSlice method;
     LcSlice path;
     LcSlice host;
@@ -56,19 +57,19 @@
     LcSlice key_text;     /* Idempotency-Key; len 0: none */
     LcSlice timeout_text; /* Lychee-Timeout-Ms; len 0: none */
     uint32_t caller;      /* its IPv4 address */
-    LcRequestId random;   /* fresh random bits: the id, if the request goes on */
+    LcRequestId random;   /* fresh random bits: becomes the id */
     int64_t now_us;
 
-    /* Found by the filters. */
+    /* Set by the filters. */
     LcRequestId id;
     LcRequestKey key; /* none for idempotent requests */
     bool is_caller_key;
-    bool is_ask; /* asks what became of `key` */
+    bool is_ask; /* a status query: asks for the outcome of `key` */
     uint32_t timeout_ms;
     const LcService *service;
     uint64_t digest;
     int64_t deadline_us;
-    bool is_limited; /* lc_limit_leave is due at the end */
+    bool is_limited; /* lc_limit_leave must be called at the end */
   } LcFilterRequest;
 
   typedef enum
@@ -81,7 +82,7 @@
   {
     LcFilterVerdictKind kind;
     uint16_t status;       /* REFUSE: HTTP status */
-    LcRefuseReason reason; /* REFUSE: for limits; else LC_REFUSE_NONE */
+    LcRefuseReason reason; /* REFUSE: by a limit; else LC_REFUSE_NONE */
     const char *message;   /* REFUSE: what is wrong */
     const char *remedy;    /* REFUSE: what to do */
   } LcFilterVerdict;
@@ -104,7 +105,7 @@
     void *user;
   } LcFilterContext;
 
-  /* Runs the first five in order, until one refuses. */
+  /* Runs the first five filters in order, until one refuses. */
   LcFilterVerdict lc_filter_run (LcFilterRequest *request, const LcFilterContext *context);
 
   LcFilterVerdict lc_filter_identify (LcFilterRequest *request);
--- a/src/core/request/lc-admission.c
+++ b/src/core/request/lc-admission.c
@@ -18,7 +18,7 @@
   return a < b ? a : b;
 }
 
-/* The time until a request with `ahead` others before it in the queue would end. */
+/* The estimated time until a request with `ahead` others before it in the queue ends. */
 static int64_t
 lc_admission__end_us (const LcAdmission *a, uint32_t ahead)
 {
@@ -161,7 +161,7 @@
   if (admission->n_queued == 0 || admission->running >= admission->limit)
     return false;
   if (admission->queue[0].deadline_us <= now_us)
-    return false; /* lc_admission_expire names it */
+    return false; /* left to lc_admission_expire */
   *ticket = admission->queue[0].ticket;
   lc_admission__remove (admission, 0);
   admission->running++;
--- a/src/core/request/lc-admission.h
+++ b/src/core/request/lc-admission.h
@@ -1,26 +1,25 @@
-/* lc-admission: an agent's slots and its short queue, ordered by deadline.
+/* lc-admission: admission control of an agent: concurrency limit and earliest-deadline-first queue.
  *
  * WHAT IT IS
  *   A backend server runs `slots` requests at once.  A request starts when a slot is free, else it
- *   waits in a short queue from which the earliest deadline starts first.  A request that can't
- *   start in time, by the smoothed time of a run, is refused at once: an early refusal can be
- *   retried elsewhere, a late one can't.  When the backend server sheds requests the limit of
- *   concurrent runs is cut by a quarter (at most once a run's time) and grows back by one after
- *   as many runs as the limit is.
+ *   waits in a short queue, earliest deadline first.  A request that, by the smoothed service time,
+ *   can't end before its deadline is refused at once, while it can still be retried elsewhere.
+ *   When the backend server sheds requests the concurrency limit is cut by a quarter (at most once
+ *   per service time) and grows back by one after as many successful runs as the limit is.
  *
  * HOW TO USE IT
  *     lc_admission_init (&admission, &(LcAdmissionDesc){ .slots = 4 });
  *     r = lc_admission_submit (&admission, ticket, deadline_us, now_us, &retry_after_us);
- *     LC_ADMISSION_START: run it now; QUEUED: `lc_admission_next` names it later; else refused
+ *     LC_ADMISSION_START: run it now; QUEUED: `lc_admission_next` returns it later; else refused
  *     lc_admission_end (&admission, how, started_us, now_us);   a run has ended
  *     while (lc_admission_next (&admission, now_us, &ticket)) start (ticket);
  *     while (lc_admission_expire (&admission, now_us, &ticket)) refuse (ticket);
  *
  * LIFETIME
- *   Owns its queue.  Tickets are the caller's.
+ *   Owns its queue.  Tickets are ids chosen by the caller.
  *
  * LIMITS
- *   The queue holds desc.queue_max requests; every operation is O(queue).
+ *   The queue holds desc.queue_max requests; every operation is O(n) in their number.
  */
 #ifndef LC_ADMISSION_H
 #define LC_ADMISSION_H
@@ -44,9 +43,9 @@
   typedef enum
   {
     LC_RUN_OK = 1,
-    LC_RUN_SHED = 2,      /* the backend server refused it without running it */
+    LC_RUN_SHED = 2,      /* the backend server refused without running it */
     LC_RUN_BROKEN = 3,    /* the connection failed or the answer was cut short */
-    LC_RUN_CANCELLED = 4, /* by us */
+    LC_RUN_CANCELLED = 4, /* by this agent */
     LC_RUN_NOT_SENT = 5,  /* no connection to the backend server */
   } LcRunEnd;
 
@@ -59,7 +58,7 @@
   {
     uint32_t slots;     /* 0: 4 */
     uint32_t queue_max; /* 0: four times the slots; at most LC_ADMISSION_QUEUE_MAX */
-    int64_t service_us; /* first guess of a run's time; 0: 10 ms */
+    int64_t service_us; /* initial estimate of a run's time; 0: 10 ms */
   } LcAdmissionDesc;
 
   typedef struct
@@ -89,24 +88,24 @@
                                          int64_t now_us,
                                          int64_t *retry_after_us);
 
-  /* Whether a request submitted now would find neither a slot nor room in the queue. */
+  /* Whether all slots and the queue are taken. */
   bool lc_admission_is_full (const LcAdmission *admission);
 
-  /* Takes a queued request out (revoked); false when it is not queued. */
+  /* Removes a queued request; false when it is not queued. */
   bool lc_admission_withdraw (LcAdmission *admission, uint64_t ticket);
 
   void lc_admission_end (LcAdmission *admission, LcRunEnd how, int64_t started_us, int64_t now_us);
 
-  /* The next queued request to start, if a slot is free; it counts as running from then on. */
+  /* Pops the next request to start, if a slot is free; it counts as running from then on. */
   bool lc_admission_next (LcAdmission *admission, int64_t now_us, uint64_t *ticket);
 
-  /* A queued request that can't end before its deadline any more. */
+  /* Pops a queued request that is past its deadline. */
   bool lc_admission_expire (LcAdmission *admission, int64_t now_us, uint64_t *ticket);
 
-  /* Takes no more; what is queued still runs. */
+  /* Refuses new requests; queued ones still run. */
   void lc_admission_close (LcAdmission *admission);
 
-  /* When a refused caller may come back: about when the present queue has run. */
+  /* When to retry after a refusal: about when the present queue has run. */
   int64_t lc_admission_retry_after_us (const LcAdmission *admission);
 
 #ifdef __cplusplus
--- a/src/core/request/lc-answer.h
+++ b/src/core/request/lc-answer.h
@@ -1,7 +1,7 @@
-/* lc-answer: a whole answer of a backend server, shared by reference.
+/* lc-answer: a complete answer of a backend server, reference-counted.
  *
  * LIFETIME
- *   Counted references; immutable once made.
+ *   Freed with the last reference; immutable.
  */
 #ifndef LC_ANSWER_H
 #define LC_ANSWER_H
@@ -19,7 +19,7 @@
   {
     gint n_refs;
     uint32_t status;
-    GBytes *headers; /* packed by whoever made it; never NULL */
+    GBytes *headers; /* encoded by the creator; never NULL */
     GBytes *body;    /* never NULL */
   } LcAnswer;
 
--- a/src/core/request/lc-attempt.c
+++ b/src/core/request/lc-attempt.c
@@ -15,7 +15,7 @@
   return (LcStep){ .kind = LC_STEP_NONE };
 }
 
-/* The open attempt that a message is about, or NULL: late, doubled or crossed. */
+/* The open attempt that a message belongs to; NULL when it is late, duplicate or misdirected. */
 static LcAttemptOne *
 lc_attempt__match (LcAttempt *attempt, uint64_t link_id, uint32_t number)
 {
@@ -46,7 +46,7 @@
       LcStep){ .kind = LC_STEP_FINISH, .reason = reason, .outcome = lc_attempt__outcome (attempt) };
 }
 
-/* Another attempt of a hedged request may still bring the answer. */
+/* No retry while another attempt of a hedged request is open. */
 static LcStep
 lc_attempt__retry_or_wait (const LcAttempt *attempt, LcRefuseReason reason)
 {
@@ -55,8 +55,8 @@
   return (LcStep){ .kind = LC_STEP_RETRY, .reason = reason };
 }
 
-/* Whoever holds the claim is asked.  This attempt has not run, but what was known of other copies
- * counts no more. */
+/* The holder of the claim is asked next.  This attempt has not run, but earlier knowledge about
+ * other copies is void. */
 static LcStep
 lc_attempt__held (LcAttempt *attempt, LcAttemptOne *one, LcMemberRef owner)
 {
@@ -71,13 +71,13 @@
 static LcStep
 lc_attempt__unknown (LcAttempt *attempt, LcRefuseReason reason)
 {
-  /* The owner said that the outcome is not known: asking elsewhere can't tell more. */
+  /* The key's owner doesn't know the outcome, so no other agent does. */
   if (!lc_request_key_is_none (attempt->desc.key))
     return lc_attempt__finish (attempt, reason);
   return lc_attempt__retry_or_wait (attempt, reason);
 }
 
-/* The answer was lost on its way here: a keyed request's owner has it on record. */
+/* The answer was lost between agent and balancer: the owner of a keyed run has it on record. */
 static LcStep
 lc_attempt__broken (LcAttempt *attempt, LcMemberRef owner)
 {
@@ -147,7 +147,7 @@
   if (!lc_refuse_is_not_run (refusal->reason))
     return lc_attempt__unknown (attempt, refusal->reason);
   one->state = LC_ATTEMPT_NOT_RUN;
-  /* Only the newest word counts: a copy may have run since an older one. */
+  /* Only the newest refusal counts: a copy may have run since an older one. */
   attempt->is_checked = refusal->is_checked;
   return lc_attempt__retry_or_wait (attempt, refusal->reason);
 }
--- a/src/core/request/lc-attempt.h
+++ b/src/core/request/lc-attempt.h
@@ -1,25 +1,25 @@
-/* lc-attempt: one request at a balancer, over all its attempts.
+/* lc-attempt: the state machine of one request's attempts at a balancer.
  *
  * WHAT IT IS
- *   The state of each attempt and what follows from each event.  It decides which answer is the
- *   request's own (same link, same request, an attempt that is still open), and what may be said
- *   when there is none: "not run" only if every attempt has certainly not run.
+ *   The state of each attempt, and the next step after each event.  It decides which answer belongs
+ *   to the request (same link, same request, an attempt that is still open), and the outcome
+ *   without one: "not run" only if every attempt has certainly not run.
  *
  * HOW TO USE IT
  *     lc_attempt_init (&attempt, &(LcAttemptDesc){ .id = id, .deadline_us = deadline_us });
- *     n = lc_attempt_begin (&attempt, target, link_id);            then send it
+ *     n = lc_attempt_begin (&attempt, target, link_id);            before sending it
  *     step = lc_attempt_refused (&attempt, link_id, n, &refusal);
  *     switch (step.kind)
  *       RETRY: begin another attempt if the budget allows, else lc_attempt_give_up
  *       OWNER: begin an attempt at step.owner, else lc_attempt_give_up
- *       FINISH: tell the caller step.outcome and step.reason
+ *       FINISH: report step.outcome and step.reason to the caller
  *
  * RULES
- *   - A request that was finished stays finished; later events change nothing.
- *   - A keyed request may be retried after an unknown outcome: the claim of its key keeps it from
- *     running twice.  So may an idempotent one.
- *   - For a key that the caller chose, "not run" also needs an agent that held the whole claim
- *     (refusal.is_checked), because an earlier copy may have come through another balancer.
+ *   - Events after the request is finished change nothing.
+ *   - A keyed request may be retried after an unknown outcome, because the claim of its key
+ *     prevents a second run.  So may an idempotent one.
+ *   - For a key that the caller chose, "not run" also needs an agent that held the confirmed claim
+ *     (refusal.is_checked), because another copy may have come through another balancer.
  *
  * LIFETIME
  *   A plain value.
@@ -37,7 +37,7 @@
 
   enum
   {
-    LC_ATTEMPT_MAX = 6, /* of one request, of all kinds */
+    LC_ATTEMPT_MAX = 6, /* attempts of one request, with hedges and retries */
   };
 
   typedef enum
@@ -59,7 +59,7 @@
   {
     LcRequestId id;
     LcRequestKey key;   /* none for idempotent requests */
-    bool is_caller_key; /* chosen by the caller, so copies may exist elsewhere */
+    bool is_caller_key; /* chosen by the caller, so there may be other copies */
     int64_t deadline_us;
   } LcAttemptDesc;
 
@@ -69,14 +69,14 @@
     LcAttemptOne attempts[LC_ATTEMPT_MAX]; /* attempt n is attempts[n - 1] */
     uint8_t n_attempts;
     uint8_t n_owner_steps;
-    bool is_checked;
+    bool is_checked; /* as in the newest refusal */
     bool is_finished;
   } LcAttempt;
 
   typedef struct
   {
     LcRefuseReason reason;
-    bool is_checked;
+    bool is_checked;   /* the agent held the confirmed claim of the key */
     LcMemberRef owner; /* with LC_REFUSE_HELD */
   } LcRefusal;
 
@@ -99,13 +99,13 @@
 
   void lc_attempt_init (LcAttempt *attempt, const LcAttemptDesc *desc);
 
-  /* The number of the new attempt, from 1; 0 when the request is finished or has had its share. */
+  /* The number of the new attempt, from 1; 0 when the request is finished or at LC_ATTEMPT_MAX. */
   uint32_t lc_attempt_begin (LcAttempt *attempt, LcMemberRef target, uint64_t link_id);
 
-  /* Its bytes never left this process. */
+  /* The attempt could not be sent. */
   LcStep lc_attempt_unsent (LcAttempt *attempt, uint32_t number);
 
-  /* An answer, whole or not; LC_STEP_ANSWER when it is this request's to give. */
+  /* Handles an answer; LC_STEP_ANSWER when it is whole and belongs to this request. */
   LcStep lc_attempt_answered (LcAttempt *attempt, uint64_t link_id, uint32_t number, bool is_whole);
 
   LcStep lc_attempt_refused (LcAttempt *attempt,
@@ -113,15 +113,15 @@
                              uint32_t number,
                              const LcRefusal *refusal);
 
-  /* The link went down: attempts open on it have an unknown outcome. */
+  /* Open attempts on a lost link have an unknown outcome. */
   LcStep lc_attempt_link_down (LcAttempt *attempt, uint64_t link_id);
 
-  /* Ends the request now: deadline, caller gone, no budget, no endpoint. */
+  /* Finishes the request: deadline, no retry budget, no endpoint. */
   LcStep lc_attempt_give_up (LcAttempt *attempt, LcRefuseReason reason);
 
   uint32_t lc_attempt_n_open (const LcAttempt *attempt);
 
-  /* Whether an attempt at this instance was made. */
+  /* Whether an attempt was sent to this instance. */
   bool lc_attempt_has_tried (const LcAttempt *attempt, LcInstance instance);
 
 #ifdef __cplusplus
--- a/src/core/request/lc-claim-era.c
+++ b/src/core/request/lc-claim-era.c
@@ -4,7 +4,7 @@
 
 #define LC_CLAIM_ERA_LOST_AFTER_US (65 * LC_US_PER_S)
 
-/* Members that live are asked every 100 ms: a step that has lasted so long has heard them. */
+/* Live members are read from every 100 ms: after this time those that can answer have done so. */
 #define LC_CLAIM_ERA_ASKED_US (500 * LC_US_PER_MS)
 
 /* === private: sets ========================================================================== */
@@ -44,7 +44,7 @@
   return false;
 }
 
-/* Whether `member` is this process, now or before a restart. */
+/* Whether `member` is this process or one of its earlier incarnations. */
 static bool
 lc_claim_era__is_self (const LcClaimEra *era, LcMemberRef member)
 {
@@ -56,7 +56,7 @@
   return false;
 }
 
-/* The member that this process is in a set, or NULL.  A set holds one instance of an endpoint. */
+/* This process's entry in a set, or NULL; a set holds one instance of each endpoint. */
 static const LcMemberRef *
 lc_claim_era__self_in (const LcClaimEra *era, const LcClaimSet *set)
 {
@@ -81,7 +81,7 @@
   return lc_claim_era__is_among (era->sources, member);
 }
 
-/* The index of the era that the present step leads to; sets->len when there is none. */
+/* The index of the era that is being read for; sets->len when there is none. */
 static guint
 lc_claim_era__target (const LcClaimEra *era)
 {
@@ -109,14 +109,14 @@
   era->step_since_us = now_us;
 }
 
-/* The set before the target, or NULL when history does not reach that far. */
+/* The set before the target, or NULL when the view no longer has it. */
 static const LcClaimSet *
 lc_claim_era__former (const LcClaimEra *era, guint target)
 {
   return target > 0 ? lc_claim_era__set (era, target - 1) : NULL;
 }
 
-/* Whether this agent's own memory counts for keys that it homed in the set before. */
+/* Whether this agent is itself a source for the keys that it homed in the previous set. */
 static bool
 lc_claim_era__was_whole (const LcClaimEra *era, const LcClaimSet *former)
 {
@@ -134,7 +134,7 @@
   return n;
 }
 
-/* Whether the sources cover every key: any set of n - r + 1 members has one of any r homes. */
+/* Whether the sources cover every key: any n - r + 1 of n members include one of its r homes. */
 static bool
 lc_claim_era__is_covered (const LcClaimEra *era, guint target)
 {
@@ -146,8 +146,8 @@
   if (lc_claim_era__self_in (era, set) == NULL)
     return true;
   if (former != NULL && former->n_members == 0 && former->since == 0)
-    return true; /* the service's first members: nothing was ever claimed */
-  /* Itself is one of the r homes, and not a source at this era. */
+    return true; /* the service's first members: no claim exists */
+  /* This agent is one of the r homes, but not a source at the target era. */
   if (r > 1 && lc_claim_era__count (era, false) >= set->n_members - r + 1)
     return true;
   if (former == NULL)
@@ -269,7 +269,7 @@
   return 0;
 }
 
-/* `known` are the sets as they were before, `were_alive` the members that the view showed then. */
+/* Sets lost_us.  `known` and `were_alive` are the sets and live members of the previous view. */
 static void
 lc_claim_era__note_lost (const LcClaimEra *era,
                          LcClaimSet *set,
@@ -290,11 +290,11 @@
     return;
   set->lost_us = is_new ? now_us : lc_claim_era__known_loss_us (known, set);
   if (set->lost_us == 0)
-    set->lost_us = now_us; /* they were lost before this agent heard of them */
+    set->lost_us = now_us; /* lost before this agent first saw the set */
 }
 
-/* What was known of an era counts while the view remembers that era.  A view from before it, as a
- * process that has just started may get, says nothing of that. */
+/* Drops state of eras that the view no longer has.  A view older than `whole`, as a process that
+ * has just started may get, drops nothing. */
 static void
 lc_claim_era__forget_old (LcClaimEra *era)
 {
@@ -320,8 +320,8 @@
   era->n_earlier = n;
 }
 
-/* Answers of the present step stay valid when only newer eras were added; whether the step is
- * still the same one is seen from its target. */
+/* Sources of the present step stay valid when only newer eras were added; the step is the same one
+ * when its target is. */
 void
 lc_claim_era_set (LcClaimEra *era, const LcService *service, int64_t now_us)
 {
@@ -423,7 +423,7 @@
   return lc_claim_era__want (era, lc_claim_era__set (era, target), out, n, max);
 }
 
-/* `set` is NULL when history does not reach that far. */
+/* Whether the source was a member of `set` and complete there; `set` may be NULL. */
 static bool
 lc_claim_era__was_whole_at (const LcClaimSource *source, const LcClaimSet *set)
 {
@@ -431,7 +431,7 @@
          source->whole_from != 0 && lc_claim_era__has (set, source->member);
 }
 
-/* What a member that lives said last of how long it can't know more. */
+/* Replaces what a live member reported of how long it waits for lost members. */
 static void
 lc_claim_era__note_stalled (LcClaimEra *era, const LcClaimSource *source, int64_t now_us)
 {
@@ -460,7 +460,7 @@
     return;
   set = lc_claim_era__set (era, target);
   if (source->asked != set->since)
-    return; /* a late answer to an earlier step: it may lack records of this one */
+    return; /* a late answer to an earlier step: it may lack records that this one needs */
   lc_claim_era__note_stalled (era, source, now_us);
   former = lc_claim_era__former (era, target);
   before =
@@ -472,7 +472,7 @@
   lc_claim_era__advance (era, now_us);
 }
 
-/* Whether this member of the view lives, was in the set before, and has not told what it knows. */
+/* Whether `member` was in the previous set and is not a source yet. */
 static bool
 lc_claim_era__is_awaited (const LcClaimEra *era, const LcClaimSet *former, LcMemberRef member)
 {
@@ -480,7 +480,7 @@
          !lc_claim_era__is_self (era, member);
 }
 
-/* Whether a member of the set before may still answer. */
+/* Whether a live member of the previous set may still answer. */
 static bool
 lc_claim_era__may_answer (const LcClaimEra *era, guint target)
 {
@@ -492,8 +492,8 @@
   return false;
 }
 
-/* Since when nobody else can answer in the present step: since it began, or since the last of the
- * members that are missing was lost if that is longer ago. */
+/* When the wait for lost members began: with the step, or with the loss of the last missing member
+ * if that was earlier. */
 static int64_t
 lc_claim_era__unanswered_since_us (const LcClaimEra *era, guint target)
 {
@@ -504,7 +504,6 @@
   return MIN (former->lost_us, era->step_since_us);
 }
 
-/* Steps whose sources were lost together end together. */
 void
 lc_claim_era_tick (LcClaimEra *era, int64_t now_us)
 {
@@ -521,7 +520,7 @@
     }
 }
 
-/* In the last step a key is known as soon as one of its own homes has answered. */
+/* Whether one of the key's own homes is a source: in the last step that is enough for the key. */
 static bool
 lc_claim_era__is_key_covered (const LcClaimEra *era, guint target, LcRequestKey key)
 {
@@ -556,7 +555,7 @@
   return target == era->sets->len - 1 && lc_claim_era__is_key_covered (era, target, key);
 }
 
-/* Until when a member can't know more; 0: it has not said so. */
+/* Until when a member waits for lost members; 0: it has not reported that it does. */
 static int64_t
 lc_claim_era__stalled_until_us (const LcClaimEra *era, LcMemberRef member)
 {
@@ -566,9 +565,8 @@
   return 0;
 }
 
-/* The members of the set before that live and have not told, and wait for lost ones themselves: the
- * first of them that may go on.  Each of them has come less far than this agent, so that none waits
- * for another in a circle. */
+/* When the first of the awaited members stops waiting for lost ones; 0: one of them doesn't wait.
+ * Each of them is at an earlier era than this agent, so that members never wait in a cycle. */
 static int64_t
 lc_claim_era__first_to_go_on_us (const LcClaimEra *era, guint target)
 {
--- a/src/core/request/lc-claim-homes.h
+++ b/src/core/request/lc-claim-homes.h
@@ -1,10 +1,10 @@
-/* lc-claim-homes: which agents remember the claim of a key.
+/* lc-claim-homes: rendezvous hashing of keys onto the agents that record their claims.
  *
  * WHAT IT IS
  *   The homes of a key are the first LC_CLAIM_HOMES members of a candidate set by rendezvous
- *   hashing over (key, endpoint id): every agent that knows the set computes the same ones, and a
- *   change of one member changes only the keys of which it is a home.  The first home decides
- *   between rivals, because claims ask it before the others.
+ *   hashing over (key, endpoint id): every agent with the same set computes the same homes, and a
+ *   change of one member affects only the keys of which it is a home.  The first home decides
+ *   between concurrent owners, because claims go to it before the others.
  *
  * LIMITS
  *   Scores every member: O(members).
@@ -24,7 +24,7 @@
     LC_CLAIM_HOMES = 3,
   };
 
-  /* Writes the homes, best first, and returns how many there are: min (n, LC_CLAIM_HOMES). */
+  /* Writes the homes, highest score first; returns their number, min (n, LC_CLAIM_HOMES). */
   uint32_t lc_claim_homes (LcRequestKey key,
                            const LcMemberRef *members,
                            uint32_t n_members,
--- a/src/core/request/lc-claim-store.c
+++ b/src/core/request/lc-claim-store.c
@@ -5,8 +5,8 @@
   LC_CLAIM_STORE_MAX = 400000,
 };
 
-/* A hold is looked at when its entry's time has come: an entry whose hold was prolonged since goes
- * to the end again, so that expiring never walks over the whole table. */
+/* A hold is checked when its entry is due; the entry of a prolonged hold is queued again, so that
+ * expiry never scans the whole table. */
 typedef struct
 {
   LcRequestKey key;
@@ -122,8 +122,8 @@
   return g_hash_table_remove (store->holds, &key);
 }
 
-/* Two members may know different owners of one key: a claim that never got all homes, and a later
- * one that did.  Which is which can't be told here, so from now on nobody is granted the key. */
+/* Two members may hold different owners of one key: of a claim that was not granted by all homes,
+ * and of a later one that was.  This home can't tell them apart, so it grants the key to nobody. */
 static void
 lc_claim_store__contest (LcClaimHold *held)
 {
--- a/src/core/request/lc-claim-store.h
+++ b/src/core/request/lc-claim-store.h
@@ -1,4 +1,4 @@
-/* lc-claim-store: the claims that one agent remembers for others.
+/* lc-claim-store: the claims that one home has recorded for the owners of keys.
  *
  * WHAT IT IS
  *   A table key -> (owner, sequence, expiry).  The first owner to claim a key holds it until it
@@ -6,12 +6,11 @@
  *   sequence counts, so that a release or claim that arrives late changes nothing.
  *
  * HOW TO USE IT
- *     LcClaimStore store;
  *     lc_claim_store_init (&store, &(LcClaimStoreDesc){ 0 });
- *     LcClaimHold hold;
- *     LcClaimResult r = lc_claim_store_claim (&store, key, owner, sequence, keep_us, now_us,
- * &hold); lc_claim_store_expire (&store, now_us);        now and then lc_claim_store_finish
- * (&store); Whether this agent may answer at all is lc-claim-era's business.
+ *     r = lc_claim_store_claim (&store, key, owner, sequence, keep_us, now_us, &hold);
+ *     lc_claim_store_expire (&store, now_us);             about once a second
+ *     lc_claim_store_finish (&store);
+ *   lc-claim-era decides whether this home may grant claims at all.
  *
  * LIMITS
  *   At most desc.max_claims; a full store refuses new claims (LC_CLAIM_FULL) and never drops one
@@ -32,19 +31,19 @@
   typedef enum
   {
     LC_CLAIM_GRANTED = 1,
-    LC_CLAIM_HELD = 2,      /* another owner has the key */
-    LC_CLAIM_STALE = 3,     /* the era asked for is not this home's */
-    LC_CLAIM_NOT_READY = 4, /* this home has not yet read what the former homes know */
+    LC_CLAIM_HELD = 2,      /* by another owner */
+    LC_CLAIM_STALE = 3,     /* the claim's era is not this home's present one */
+    LC_CLAIM_NOT_READY = 4, /* this home has not yet read the previous homes' claims */
     LC_CLAIM_FULL = 5,
   } LcClaimResult;
 
-  /* A stable word for logs; "no-answer" for 0. */
+  /* A stable name for logs; "no-answer" for 0. */
   const char *lc_claim_result_name (LcClaimResult result);
 
   typedef struct
   {
-    LcRequestKey key; /* first: the table hashes it */
-    LcMemberRef owner;
+    LcRequestKey key;  /* first: `holds` hashes it */
+    LcMemberRef owner; /* none: contested */
     uint64_t sequence;
     int64_t expires_us;
   } LcClaimHold;
@@ -57,15 +56,15 @@
   typedef struct
   {
     LcClaimStoreDesc desc;
-    GHashTable *holds; /* LcClaimHold, which is its own key */
-    GQueue expiries;   /* private: a key and its expiry for each hold, about in order of time */
+    GHashTable *holds; /* LcClaimHold, hashed by its key */
+    GQueue expiries;   /* private: a key and an expiry for each hold, roughly by time */
     uint64_t expired_total;
   } LcClaimStore;
 
   void lc_claim_store_init (LcClaimStore *store, const LcClaimStoreDesc *desc);
   void lc_claim_store_finish (LcClaimStore *store);
 
-  /* Grants, or says who holds the key; `hold` is filled for GRANTED and HELD. */
+  /* Grants the claim, or reports its holder; `hold` is set for GRANTED and HELD. */
   LcClaimResult lc_claim_store_claim (LcClaimStore *store,
                                       LcRequestKey key,
                                       LcMemberRef owner,
@@ -74,18 +73,17 @@
                                       int64_t now_us,
                                       LcClaimHold *hold);
 
-  /* Forgets the claim if this owner holds it with this sequence or an older one. */
+  /* Removes the claim if this owner holds it with this sequence or an older one. */
   bool lc_claim_store_release (LcClaimStore *store,
                                LcRequestKey key,
                                LcInstance owner_instance,
                                uint64_t sequence);
 
-  /* Takes what another member knows.  When the two know different owners, the key is contested:
-   * its owner becomes "none" and it is granted to nobody until it expires. */
+  /* Merges another member's record.  When the owners differ, the key is contested: its owner
+   * becomes "none" and it is granted to nobody until it expires. */
   void lc_claim_store_merge (LcClaimStore *store, const LcClaimHold *hold);
 
-  /* Takes the claim as it stands, in place of what is known of its key; expires_us 0: it is held no
-   * more. */
+  /* Replaces the record of the key; expires_us 0 removes it. */
   void lc_claim_store_put (LcClaimStore *store, const LcClaimHold *hold);
 
   /* NULL when the key is free. */
--- a/src/core/request/lc-claim-try.h
+++ b/src/core/request/lc-claim-try.h
@@ -1,17 +1,17 @@
-/* lc-claim-try: an owner's claim of one key, until all homes have recorded it.
+/* lc-claim-try: acquisition of one key's claim from all of its homes.
  *
  * WHAT IT IS
- *   The first home is asked alone, so that of two owners with the same key at once only one gets
- *   past it; then the others are asked together.  A refusal for an old era, or by a home that is
- *   not ready, starts over under the newest era after a short pause.
+ *   The claim goes to the first home alone, so that of two concurrent owners of a key only one
+ *   gets past it, and then to the others in parallel.  A refusal because of another era, or by a
+ *   home that is not ready, starts another round under the newest era after a backoff.
  *
  * HOW TO USE IT
- *     lc_claim_try_start (&try, key, self, sequence, era, homes, n_homes);
- *     n = lc_claim_try_ask (&try, out);              homes to send a claim to now
- *     verdict = lc_claim_try_answer (&try, home, sequence, era, result);
- *   CONFIRMED: the request may run, also when the view changes before it does; a home of the next
- *   era must first read from one of these homes.  HELD: another owner has the key.  AGAIN: start
- *   over after lc_claim_try_pause_us.
+ *     lc_claim_try_start (&claim, key, self, sequence, era, members, n_members);
+ *     n = lc_claim_try_ask (&claim, out);              homes to send the claim to now
+ *     verdict = lc_claim_try_answer (&claim, home, sequence, era, result);
+ *   CONFIRMED: the request may run, even if the view changes before it does, since a home of the
+ *   next era must first read from one of these homes.  HELD: another owner has the key.  AGAIN:
+ *   start another round after lc_claim_try_pause_us.
  *
  * LIFETIME
  *   A plain value.
@@ -43,12 +43,12 @@
     LcRevision era;
     LcMemberRef homes[LC_CLAIM_HOMES];
     uint8_t n_homes;
-    uint8_t asked;   /* bit a home */
-    uint8_t granted; /* bit a home */
-    uint8_t rounds;  /* how often it started over */
+    uint8_t asked;   /* one bit per home */
+    uint8_t granted; /* one bit per home */
+    uint8_t rounds;  /* rounds started */
   } LcClaimTry;
 
-  /* Starts, or starts over under a newer era (`rounds` grows).  No homes: never confirmed. */
+  /* Starts a round; `rounds` counts up.  Without members the claim is never confirmed. */
   void lc_claim_try_start (LcClaimTry *claim,
                            LcRequestKey key,
                            LcMemberRef owner,
@@ -57,14 +57,14 @@
                            const LcMemberRef *members,
                            uint32_t n_members);
 
-  /* Homes to ask now that have not been asked in this round. */
+  /* Writes the homes to send the claim to now; each is listed once a round. */
   uint32_t lc_claim_try_ask (LcClaimTry *claim, LcMemberRef out[LC_CLAIM_HOMES]);
 
-  /* An answer; one of another sequence, era or home changes nothing. */
+  /* Handles a reply; one of another sequence, era or home is ignored. */
   LcClaimVerdict lc_claim_try_answer (
       LcClaimTry *claim, LcMemberRef home, uint64_t sequence, LcRevision era, LcClaimResult result);
 
-  /* 5 ms, doubled each round, at most 80 ms. */
+  /* The backoff before the next round: 5 ms, doubled each round, at most 80 ms. */
   int64_t lc_claim_try_pause_us (const LcClaimTry *claim);
 
 #ifdef __cplusplus
--- a/src/core/request/lc-deadline.h
+++ b/src/core/request/lc-deadline.h
@@ -1,11 +1,11 @@
-/* lc-deadline: how long a request may take, and what of it an agent is given.
+/* lc-deadline: a request's deadline, and its propagation to agents.
  *
  * WHAT IT IS
- *   The deadline is the service's timeout, shortened by what the caller asks for, and never longer
- *   than a minute: claims rely on that bound.  Between processes only the time left is sent, never
- *   a clock value, so clocks need not agree.  An agent is given a little less than the balancer
- *   has, so that its refusal ("expired while queued: not run") still arrives in time; and a caller
- *   that says how long it waits is answered a little before that.
+ *   The deadline is the service's timeout or the caller's if that is shorter, and at most a minute
+ *   away: claims rely on that bound.  Processes send each other the time left, never a clock value,
+ *   so clocks need not agree.  An agent gets a little less than the balancer has, so that its
+ *   refusal ("expired while queued: not run") still arrives in time; and a caller that sends its
+ *   timeout is answered a little before that.
  */
 #ifndef LC_DEADLINE_H
 #define LC_DEADLINE_H
@@ -21,12 +21,12 @@
   {
     LC_DEADLINE_DEFAULT_MS = 30000,
     LC_DEADLINE_MAX_MS = 60000,
-    LC_DEADLINE_MARGIN_SHARE = 10, /* a tenth of what is left */
+    LC_DEADLINE_MARGIN_SHARE = 10, /* a tenth of the time left */
   };
 
 #define LC_DEADLINE_MARGIN_US (50 * LC_US_PER_MS)
 
-  /* Both arguments in milliseconds; 0: not given. */
+  /* Timeouts in milliseconds; 0: none. */
   static inline int64_t
   lc_deadline_us (int64_t now_us, uint32_t service_ms, uint32_t caller_ms)
   {
@@ -39,7 +39,7 @@
     return now_us + ms * LC_US_PER_MS;
   }
 
-  /* What an agent is told that is left; 0 when nothing is. */
+  /* The time left that is sent to an agent: less a tenth, at most 50 ms; 0 after the deadline. */
   static inline int64_t
   lc_deadline_left_us (int64_t deadline_us, int64_t now_us)
   {
@@ -51,8 +51,8 @@
     return left_us - (margin_us < LC_DEADLINE_MARGIN_US ? margin_us : LC_DEADLINE_MARGIN_US);
   }
 
-  /* When a caller is answered at the latest.  One that has said how long it waits is answered a
-   * little before it leaves: an answer at that moment meets nobody. */
+  /* When a caller is answered at the latest: a little before its own timeout, since an answer at
+   * that moment would come after it has left. */
   static inline int64_t
   lc_deadline_answer_us (int64_t now_us, uint32_t service_ms, uint32_t caller_ms)
   {
--- a/src/core/request/lc-hedge.h
+++ b/src/core/request/lc-hedge.h
@@ -1,12 +1,12 @@
-/* lc-hedge: when a second attempt of an idempotent request is worth sending.
+/* lc-hedge: the delay of hedged attempts of idempotent requests.
  *
  * WHAT IT IS
- *   A running estimate of how long answers take (mean and mean deviation).  An attempt that is
- *   still open after mean + 4 deviations is hedged once, if the retry budget allows it.  The first
- *   whole answer wins; the other attempt is cancelled.
+ *   A smoothed estimate of the latency (mean and mean deviation).  An attempt still open after
+ *   mean + 4 deviations is hedged once, if the retry budget allows it.  The first complete answer
+ *   wins; the other attempt is cancelled.
  *
  * LIFETIME
- *   A plain value, one a service.
+ *   A plain value, one per service.
  */
 #ifndef LC_HEDGE_H
 #define LC_HEDGE_H
@@ -55,7 +55,7 @@
       hedge->n_samples++;
   }
 
-  /* How long to wait for an answer before hedging; 0 while too little is known. */
+  /* The delay before hedging; 0 (no hedging) while there are too few samples. */
   static inline int64_t
   lc_hedge_after_us (const LcHedge *hedge)
   {
--- a/src/core/request/lc-limit.h
+++ b/src/core/request/lc-limit.h
@@ -1,17 +1,17 @@
-/* lc-limit: requests in flight at one balancer, for each service and each caller.
+/* lc-limit: limits of requests in flight at one balancer, per service and per caller.
  *
  * WHAT IT IS
- *   A caller (its IP address) may have so many requests of one service in flight, and a service so
- *   many in all; what is over is refused at once.  So neither one caller nor one service's storm
- *   takes the balancer's memory or the queues of another.
+ *   Requests beyond the limit of their caller (by IP address) or service are refused at once, so
+ *   that neither one caller nor a request storm at one service exhausts the balancer's memory or
+ *   the queues of the others.
  *
  * HOW TO USE IT
  *     lc_limit_init (&limit, &(LcLimitDesc){ .per_caller = 64, .per_service = 512 });
- *     r = lc_limit_enter (&limit, caller);      LC_LIMIT_OK: call lc_limit_leave once at the end
+ *     r = lc_limit_enter (&limit, caller);      LC_LIMIT_OK: must be followed by a leave
  *     lc_limit_leave (&limit, caller);
  *
  * LIFETIME
- *   One value a service; callers with nothing in flight take no memory.
+ *   One value per service; callers with nothing in flight take no memory.
  */
 #ifndef LC_LIMIT_H
 #define LC_LIMIT_H
@@ -47,7 +47,7 @@
 
   void lc_limit_init (LcLimit *limit, const LcLimitDesc *desc);
   void lc_limit_finish (LcLimit *limit);
-  /* Takes new limits; what is in flight stays counted. */
+  /* Changes the limits; requests in flight stay counted. */
   void lc_limit_set (LcLimit *limit, const LcLimitDesc *desc);
   LcLimitResult lc_limit_enter (LcLimit *limit, uint32_t caller);
   void lc_limit_leave (LcLimit *limit, uint32_t caller);
--- a/src/core/request/lc-outcome.h
+++ b/src/core/request/lc-outcome.h
@@ -1,8 +1,8 @@
-/* lc-outcome: what may be said of a request that got no answer.
+/* lc-outcome: reasons for refusing a request, and its outcome without an answer.
  *
  * WHAT IT IS
- *   The reasons for which an agent refuses an attempt, and for each whether it is certain that the
- *   attempt has not run.  Values go over the wire: add at the end.
+ *   The reasons for which an agent refuses an attempt or a balancer a request, and for each whether
+ *   it is certain that the attempt has not run.  Values go over the wire: add at the end.
  */
 #ifndef LC_OUTCOME_H
 #define LC_OUTCOME_H
@@ -17,25 +17,25 @@
   typedef enum
   {
     LC_REFUSE_NONE = 0,
-    LC_REFUSE_STALE_INSTANCE = 1, /* meant for another start of the endpoint */
+    LC_REFUSE_STALE_INSTANCE = 1, /* sent to another instance of the endpoint */
     LC_REFUSE_DRAINING = 2,
     LC_REFUSE_FULL = 3,
     LC_REFUSE_TOO_LATE = 4,
     LC_REFUSE_REVOKED = 5,      /* cancelled before it started */
     LC_REFUSE_CANCELLED = 6,    /* cancelled, or its deadline passed, while it ran */
-    LC_REFUSE_SHED = 7,         /* the backend server said that it did not run it */
+    LC_REFUSE_SHED = 7,         /* the backend server reported that it did not run it */
     LC_REFUSE_BROKEN = 8,       /* the backend server's answer was cut short or lost */
     LC_REFUSE_BACKEND_DOWN = 9, /* no connection to the backend server */
-    LC_REFUSE_UNCLAIMED = 10,   /* the key's homes could not all record the claim in time */
+    LC_REFUSE_UNCLAIMED = 10,   /* not all homes recorded the claim in time */
     LC_REFUSE_HELD = 11,        /* another agent has claimed the key */
-    LC_REFUSE_KEY_REUSED = 12,  /* the key was used for another request */
-    LC_REFUSE_ANSWER_GONE = 13, /* it ran; its answer is no longer kept */
+    LC_REFUSE_KEY_REUSED = 12,  /* the key was used for a different request */
+    LC_REFUSE_ANSWER_GONE = 13, /* it ran; its answer was dropped */
     LC_REFUSE_MALFORMED = 14,   /* the attempt's body did not match its checksum */
-    LC_REFUSE_NOT_KNOWN = 15,   /* asked for a key that this agent doesn't know */
-    /* Reasons of the balancer itself. */
+    LC_REFUSE_NOT_KNOWN = 15,   /* queried for a key without a record */
+    /* Set by the balancer itself. */
     LC_REFUSE_DEADLINE = 32,
-    LC_REFUSE_LINK_LOST = 33,   /* the connection to the agent broke */
-    LC_REFUSE_NO_ENDPOINT = 34, /* nothing can take it now */
+    LC_REFUSE_LINK_LOST = 33,   /* the connection to the agent was lost */
+    LC_REFUSE_NO_ENDPOINT = 34, /* no endpoint can take it now */
     LC_REFUSE_CALLER_LIMIT = 35,
     LC_REFUSE_SERVICE_LIMIT = 36,
   } LcRefuseReason;
@@ -49,10 +49,10 @@
   /* Whether an attempt refused for this reason has certainly not run. */
   bool lc_refuse_is_not_run (LcRefuseReason reason);
 
-  /* Whether the reason only says "not here": trying elsewhere asks for no extra work. */
+  /* Whether a retry elsewhere adds no load, because the agent would take no request at all. */
   bool lc_refuse_is_elsewhere (LcRefuseReason reason);
 
-  /* A stable word for headers, logs and metrics, for example "queue-full". */
+  /* A stable name for headers, logs and metrics, for example "queue-full". */
   const char *lc_refuse_name (LcRefuseReason reason);
   const char *lc_outcome_name (LcOutcome outcome);
 
--- a/src/core/request/lc-outlier.c
+++ b/src/core/request/lc-outlier.c
@@ -25,7 +25,7 @@
                                                                  : LC_OUTLIER_MAX_DOUBLINGS);
   outlier->until_us = now_us + (length_us < longest_us ? length_us : longest_us);
   outlier->ejections++;
-  /* After the time is over one more failure is enough. */
+  /* After the ejection a single failure ejects again. */
   outlier->in_a_row = failures - 1;
   return true;
 }
--- a/src/core/request/lc-outlier.h
+++ b/src/core/request/lc-outlier.h
@@ -1,12 +1,12 @@
-/* lc-outlier: keeps work away from an endpoint that keeps failing.
+/* lc-outlier: outlier ejection of an endpoint after consecutive failures.
  *
  * WHAT IT IS
  *   After `failures` failed attempts in a row an endpoint is ejected for a time that doubles with
- *   each ejection; one success resets it.  The caller keeps a floor: never more than half of a
- *   service's endpoints are ejected at once (lc_pick does this).
+ *   each ejection; one success resets it.  The caller must ignore ejections when they would leave
+ *   less than half of a service's endpoints (lc-pick does so).
  *
  * LIFETIME
- *   A plain value for each endpoint.
+ *   A plain value, one per endpoint.
  */
 #ifndef LC_OUTLIER_H
 #define LC_OUTLIER_H
--- a/src/core/request/lc-pick.c
+++ b/src/core/request/lc-pick.c
@@ -9,7 +9,7 @@
   LC_PICK_RAMP_FLOOR_PERCENT = 10,
   LC_PICK_MAX_HALVINGS = 20,
   LC_PICK_SMOOTHING = 8,
-  LC_PICK_SLOWNESS = 24, /* a slow endpoint's slots empty slowly: it is filled a little less */
+  LC_PICK_SLOWNESS = 24, /* slow endpoints free their slots late: they get a little less */
 };
 
 #define LC_PICK_DISTANCE_US (2 * LC_US_PER_MS)
@@ -17,8 +17,7 @@
 #define LC_PICK_SILENCE_US (100 * LC_US_PER_MS)
 #define LC_PICK_RAMP_US (10 * LC_US_PER_S)
 #define LC_PICK_SERVICE_US (10 * LC_US_PER_MS)
-/* A connect within a data centre takes under a millisecond; on a host that is busy, tens of them.
- */
+/* Connecting within a data centre takes under a millisecond, on a busy host tens of them. */
 #define LC_PICK_CONNECT_US (100 * LC_US_PER_MS)
 
 /* === private: the table ===================================================================== */
@@ -50,7 +49,7 @@
 
 /* === private: the score ===================================================================== */
 
-/* The share of an endpoint's capacity that it may be given, in percent. */
+/* Slow start: the share of an endpoint's capacity that may be used, in percent. */
 static int64_t
 lc_pick__ramp_percent (const LcPick *pick, const LcPickTarget *target, int64_t now_us)
 {
@@ -63,7 +62,7 @@
   return percent > LC_PICK_RAMP_FLOOR_PERCENT ? percent : LC_PICK_RAMP_FLOOR_PERCENT;
 }
 
-/* What others have there, halved each half-life since the report; in 1/256 of a request. */
+/* The load of other balancers, halved each half-life since the report; in 1/256 of a request. */
 static int64_t
 lc_pick__others (const LcPick *pick, const LcPickTarget *target, int64_t now_us)
 {
@@ -78,7 +77,7 @@
   return others - others * rest_us / pick->desc.half_life_us / 2;
 }
 
-/* All that it has, ours and others'; in 1/256 of a request. */
+/* The load of all balancers, in 1/256 of a request. */
 static int64_t
 lc_pick__load (const LcPick *pick, const LcPickTarget *target, int64_t now_us)
 {
@@ -97,8 +96,8 @@
 
   if (capacity < 1)
     capacity = 1;
-  /* Among endpoints with free slots the emptier one is better, whatever a run takes there: slots
-   * fill evenly, and a slow endpoint's fill by themselves.  Waiting for a slot costs time. */
+  /* Among endpoints with free slots the less loaded one is better, whatever its service time: slots
+   * fill evenly, and a slow endpoint's stay taken longer.  Only waiting for a slot costs time. */
   score = LC_PICK_SERVICE_US * load / capacity;
   if (over > 0)
     score += service_us * over / capacity;
@@ -121,7 +120,7 @@
   return true;
 }
 
-/* Cut off or frozen: it has attempts of ours and has said nothing for long. */
+/* Ejected, or silent with open attempts: disconnected or frozen. */
 static bool
 lc_pick__is_avoided (const LcPick *pick, const LcPickTarget *target, int64_t now_us)
 {
@@ -130,7 +129,7 @@
   return is_silent || lc_outlier_is_ejected (&target->outlier, now_us);
 }
 
-/* The floor: none is avoided unless at least half of the endpoints are left. */
+/* Panic threshold: none is avoided unless at least half of the endpoints are left. */
 static bool
 lc_pick__may_avoid (const LcPick *pick, int64_t now_us)
 {
@@ -158,7 +157,7 @@
 static uint64_t
 lc_pick__draw (uint64_t *random)
 {
-  /* splitmix64: successive independent numbers from one seed. */
+  /* splitmix64 */
   uint64_t z = (*random += UINT64_C (0x9e3779b97f4a7c15));
 
   z = (z ^ (z >> 30)) * UINT64_C (0xbf58476d1ce4e5b9);
--- a/src/core/request/lc-request-agent-claim.c
+++ b/src/core/request/lc-request-agent-claim.c
@@ -1,7 +1,7 @@
 #include "lc-request-agent-private.h"
 
-/* A request is held for claims that are known to be lost no longer than this: about as long as
- * callers are patient who say nothing of it. */
+/* How long a request may wait for lost claims: about the patience of callers that send no timeout.
+ */
 #define LC_CLAIM_HOLD_US (3 * LC_US_PER_S)
 
 /* === private: claiming ====================================================================== */
@@ -39,7 +39,7 @@
   action->held_up.deadline_us = run->deadline_us;
 }
 
-/* This agent is one of the homes itself. */
+/* Claims at this agent itself, which is one of the homes. */
 static LcClaimVerdict
 lc_agent__claim_here (LcRequestAgent *agent, LcRun *run, LcMemberRef *holder, int64_t now_us)
 {
@@ -67,9 +67,9 @@
   action->claim.keep_us = lc_agent__claim_keep_us (agent, run, now_us);
 }
 
-/* Nobody can tell for so long whether the key has run: the request is refused now, with the time to
- * come back, rather than held up to a deadline that its caller does not wait for.  Returns whether
- * it was refused. */
+/* While the claims of a key are lost it is unknown whether the key has run.  If that lasts too long
+ * the request is refused now, with a retry time, rather than kept until a deadline that its caller
+ * does not wait for.  Returns whether it was refused. */
 static bool
 lc_agent__refuse_lost (LcRequestAgent *agent, LcRun *run, int64_t lost_for_us, int64_t now_us)
 {
@@ -81,7 +81,7 @@
   return true;
 }
 
-/* Asks the homes whose turn it is, until one must be waited for or the claim is decided. */
+/* Sends the claim to the next homes, until a reply is outstanding or the claim is decided. */
 static void
 lc_agent__ask_homes (LcRequestAgent *agent, LcRun *run, int64_t now_us)
 {
--- a/src/core/request/lc-request-agent-private.h
+++ b/src/core/request/lc-request-agent-private.h
@@ -1,9 +1,9 @@
-/* lc-request-agent-private: what the parts of lc-request-agent share.
+/* lc-request-agent-private: declarations shared by the sources of lc-request-agent.
  *
  * WHAT IT IS
- *   lc-request-agent.c       attempts, ends of runs, time, the queue of actions
- *   lc-request-agent-run.c   what a run goes through, and what was seen before
- *   lc-request-agent-claim.c claiming a key, and keeping claims for others
+ *   lc-request-agent.c       attempts, ends of runs, timeouts, the queue of actions
+ *   lc-request-agent-run.c   the states of a run, deduplication of attempts
+ *   lc-request-agent-claim.c claims of this agent's keys, and claims recorded as a home
  */
 #ifndef LC_REQUEST_AGENT_PRIVATE_H
 #define LC_REQUEST_AGENT_PRIVATE_H
@@ -22,14 +22,14 @@
 #define LC_AGENT_CLAIM_WAIT_US (200 * LC_US_PER_MS)
 #define LC_AGENT_READ_EVERY_US (100 * LC_US_PER_MS)
 #define LC_AGENT_EXPIRE_EVERY_US LC_US_PER_S
-/* A record outlives every claim that names it: else its owner could be granted the key again. */
+/* A record outlives every claim of its key, else its owner could be granted the key again. */
 #define LC_AGENT_RECORD_MARGIN_US (120 * LC_US_PER_S)
 #define LC_AGENT_SEEN_US (5 * LC_US_PER_S)
 
 typedef enum
 {
   LC_RUN_STATE_CLAIMING = 1,
-  LC_RUN_STATE_PAUSED = 2, /* the claim starts over at again_us */
+  LC_RUN_STATE_PAUSED = 2, /* the next claim round starts at again_us */
   LC_RUN_STATE_QUEUED = 3,
   LC_RUN_STATE_RUNNING = 4,
   LC_RUN_STATE_DONE = 5,
@@ -45,11 +45,11 @@
   bool is_check;
   uint64_t digest;
   int64_t deadline_us;
-  int64_t again_us; /* claim: next round, or when the present one has taken too long */
+  int64_t again_us; /* claim: start of the next round, or timeout of the present one */
   int64_t started_us;
-  int64_t expires_us;     /* of the record */
-  int64_t retry_after_us; /* told when it is refused; 0: by the load of the backend server */
-  bool is_held_up;        /* and that was told */
+  int64_t expires_us;     /* when the record is dropped */
+  int64_t retry_after_us; /* sent with a refusal; 0: computed from the queue */
+  bool is_held_up;        /* LC_AGENT_HELD_UP was emitted */
   LcClaimTry claim;
   GArray *asks;          /* LcAsk */
   LcRefuseReason reason; /* UNKNOWN */
@@ -57,6 +57,7 @@
   GList *link;           /* in agent->answered */
 } LcRun;
 
+/* An attempt received before.  A tombstone: its cancellation came first, so it must not run. */
 typedef struct
 {
   LcRequestId key;
@@ -65,7 +66,7 @@
 } LcSeen;
 
 LcAgentAction *lc_agent__act (LcRequestAgent *agent, LcAgentActionKind kind);
-/* The action stands until the next one is added. */
+/* The returned action is valid until the next one is added. */
 LcAgentAction *
 lc_agent__refuse (LcRequestAgent *agent, const LcAsk *ask, LcRefuseReason reason, bool is_checked);
 void lc_agent__answer (LcRequestAgent *agent, const LcAsk *ask, LcAnswer *answer, bool is_replayed);
--- a/src/core/request/lc-request-agent-run.c
+++ b/src/core/request/lc-request-agent-run.c
@@ -35,9 +35,9 @@
   agent->stats.replayed_total += is_replayed;
 }
 
-/* === private: what was seen ================================================================= */
+/* === private: deduplication of attempts ===================================================== */
 
-/* Request ids are random, so adding the attempt's number keeps them apart. */
+/* Request ids are random, so adding the attempt number makes a unique key. */
 static LcRequestId
 lc_agent__seen_key (const LcAsk *ask)
 {
@@ -52,7 +52,7 @@
   return g_hash_table_lookup (agent->seen, &key);
 }
 
-/* Remembers an attempt until nobody can wait for it any more; false when there is no room. */
+/* Records an attempt until it can't arrive or be waited for any more; false when full. */
 bool
 lc_agent__see (LcRequestAgent *agent, const LcAsk *ask, int64_t until_us, bool is_tombstone)
 {
@@ -138,7 +138,7 @@
   g_hash_table_remove (agent->runs, &run->id);
 }
 
-/* Tells the homes that this claim will never be used. */
+/* Releases the claim at every home that was asked. */
 static void
 lc_agent__release (LcRequestAgent *agent, const LcRun *run)
 {
@@ -162,7 +162,7 @@
     }
 }
 
-/* Ends a run that has not started: everyone is refused, the claim is given back. */
+/* Ends a run that has not started: refuses all of its attempts and releases the claim. */
 void
 lc_agent__abandon (LcRequestAgent *agent, LcRun *run, LcRefuseReason reason, LcMemberRef owner)
 {
@@ -188,7 +188,7 @@
   lc_agent__abandon (agent, run, reason, (LcMemberRef){ 0 });
 }
 
-/* Ends a run that did start: a keyed one stays on record. */
+/* Ends a run that has started: a keyed one stays on record. */
 void
 lc_agent__close (LcRequestAgent *agent, LcRun *run, LcRunState state, int64_t now_us)
 {
@@ -225,7 +225,7 @@
   lc_agent__act (agent, LC_AGENT_START)->run_id = run->id;
 }
 
-/* Starts what can start and refuses what has waited too long. */
+/* Refuses queued runs that are past their deadline and starts as many as there are free slots. */
 void
 lc_agent__pump (LcRequestAgent *agent, int64_t now_us)
 {
@@ -282,7 +282,7 @@
       lc_agent__abandon_plain (agent, run, LC_REFUSE_REVOKED);
       return;
     }
-  if (agent->is_evacuated) /* since this run began to claim its key */
+  if (agent->is_evacuated) /* became so while this run claimed its key */
     {
       lc_agent__abandon_plain (agent, run, LC_REFUSE_DRAINING);
       return;
--- a/src/core/request/lc-request-agent.c
+++ b/src/core/request/lc-request-agent.c
@@ -2,7 +2,7 @@
 
 /* === private: attempts ====================================================================== */
 
-/* A copy of a run that is known here. */
+/* Adds an attempt to the run of its key, or answers it from the record. */
 static uint64_t
 lc_agent__join (LcRequestAgent *agent, LcRun *run, const LcAgentAttempt *attempt)
 {
@@ -29,7 +29,7 @@
   run->deadline_us = MAX (run->deadline_us, attempt->deadline_us);
   if (attempt->is_check || !run->is_check)
     return 0;
-  /* Someone only asked so far; this copy brings the request itself. */
+  /* So far the run had only queries; this attempt carries the request itself. */
   run->is_check = false;
   run->digest = attempt->digest;
   return run->id;
@@ -48,7 +48,7 @@
     return LC_REFUSE_TOO_LATE;
   if (is_keyed && g_hash_table_size (agent->by_key) >= agent->desc.max_records)
     return LC_REFUSE_FULL;
-  /* A key of our own minting has no other copies: no claim is needed to refuse it. */
+  /* A key that the balancer generated has no other copies, so it is refused without a claim. */
   if (is_keyed && !attempt->is_caller_key && !attempt->is_check &&
       lc_admission_is_full (&agent->admission))
     return LC_REFUSE_FULL;
@@ -199,7 +199,7 @@
   return NULL;
 }
 
-/* One of those who asked waits no more. */
+/* Removes one waiting attempt; the last one takes the run with it. */
 static void
 lc_agent__leave (LcRequestAgent *agent, LcRun *run, guint at, int64_t now_us)
 {
@@ -207,7 +207,7 @@
 
   if (run->asks->len > 1)
     {
-      /* Another copy goes on: this one will not run, but its key may. */
+      /* Other attempts still wait: this one won't run, but its key may. */
       bool is_running = run->state == LC_RUN_STATE_RUNNING;
 
       g_array_remove_index (run->asks, at);
@@ -293,7 +293,7 @@
   lc_agent__pump (agent, now_us);
 }
 
-/* A keyed run goes on when its balancer is gone: the caller will ask for its answer elsewhere. */
+/* A keyed run continues without its balancer: the caller will ask another one for the answer. */
 static void
 lc_agent__leave_link (LcRequestAgent *agent, LcRun *run, uint64_t link_id, int64_t now_us)
 {
@@ -313,7 +313,7 @@
     lc_agent__stop (agent, run, now_us);
 }
 
-/* Ending one run may end others, so calls that end runs go over a copy of the ids. */
+/* Ending one run may end others, so loops that end runs iterate over a copy of the ids. */
 static uint64_t *
 lc_agent__active_ids (const LcRequestAgent *agent, guint *n)
 {
@@ -346,7 +346,7 @@
 
 /* === public: time =========================================================================== */
 
-/* The time of a run counts: what can't end before its deadline is not started. */
+/* Enforces the deadline of a run and starts its next claim round when due. */
 static void
 lc_agent__tick_run (LcRequestAgent *agent, LcRun *run, int64_t now_us)
 {
@@ -414,7 +414,7 @@
       g_hash_table_iter_remove (&iter);
 }
 
-/* Records are closed in the order in which they expire. */
+/* `closed` is ordered by expiry. */
 static void
 lc_agent__expire_records (LcRequestAgent *agent, int64_t now_us)
 {
--- a/src/core/request/lc-request-agent.h
+++ b/src/core/request/lc-request-agent.h
@@ -1,29 +1,28 @@
-/* lc-request-agent: every decision of an agent's request plane.
+/* lc-request-agent: the state machine of an agent's request plane, without I/O.
  *
  * WHAT IT IS
- *   A state machine over runs.  A run is one execution at the backend server, with those who asked
- *   for it (balancers, by link, request id and attempt number).  A keyed run first claims its key
- *   at the key's homes, then waits for a slot, runs once, and is remembered with its answer, so
- *   that a repeat gets the same answer or "unknown", never a second run.  The agent is also a home
- *   for other agents' claims.  It does no I/O: each call appends actions, which the caller takes
- *   and carries out.
+ *   A run is one execution at the backend server, with the attempts that wait for it (by link,
+ *   request id and attempt number).  A run with an idempotency key first claims the key at its
+ *   homes, then waits for a slot, runs once, and stays on record with its answer, so that a repeat
+ *   gets the same answer or "unknown", never a second run.  The agent is also a home for other
+ *   agents' claims.  Each call appends actions, which the caller takes and executes.
  *
  * HOW TO USE IT
  *     lc_request_agent_init (&agent, &desc);
  *     lc_request_agent_view (&agent, service, now_us);
- *     run_id = lc_request_agent_attempt (&agent, &attempt, now_us);   not 0: keep its payload
+ *     run_id = lc_request_agent_attempt (&agent, &attempt, now_us);   not 0: store its payload
  *     while (lc_request_agent_take (&agent, &action))
- *       { carry it out; lc_agent_action_clear (&action); }
+ *       { execute it; lc_agent_action_clear (&action); }
  *     lc_request_agent_ended (&agent, run_id, LC_RUN_OK, answer, now_us);
  *     lc_request_agent_tick (&agent, now_us);                         every few milliseconds
  *     lc_request_agent_finish (&agent);
  *
  * LIFETIME
- *   Owns runs, recorded answers and the claims it keeps for others.
+ *   Owns runs, recorded answers and the claims recorded for other agents.
  *
  * LIMITS
- *   Recorded answers take desc.max_answer_bytes at most: the oldest are dropped first, their
- *   records stay until they expire.  Records are kept for desc.keep_us after the run.
+ *   Recorded answers take at most desc.max_answer_bytes; the oldest are dropped first, and their
+ *   records stay until they expire.  Records are kept for desc.keep_us and 120 s after the run.
  */
 #ifndef LC_REQUEST_AGENT_H
 #define LC_REQUEST_AGENT_H
@@ -45,13 +44,13 @@
     LcMemberRef self; /* the id may be 0 until the endpoint is committed */
     LcAdmissionDesc admission;
     LcClaimStoreDesc store;
-    int64_t keep_us;           /* of records and claims; 0: 300 s */
+    int64_t keep_us;           /* how long records and claims are kept; 0: 300 s */
     uint64_t max_answer_bytes; /* 0: 32 MiB */
     uint32_t max_records;      /* 0: 250 000 */
     int64_t lost_after_us;     /* see lc-claim-era */
   } LcRequestAgentDesc;
 
-  /* Who asked: an answer goes back by exactly this. */
+  /* Identifies an attempt; its answer or refusal is sent back with the same values. */
   typedef struct
   {
     uint64_t link_id;
@@ -62,28 +61,27 @@
   typedef struct
   {
     LcAsk ask;
-    LcInstance instance; /* it is meant for */
+    LcInstance instance; /* the endpoint instance that it is addressed to */
     LcRequestKey key;    /* none: idempotent, needs no claim */
     bool is_caller_key;
-    bool is_check; /* runs nothing: only asks what became of the key */
+    bool is_check; /* runs nothing, only queries the outcome of the key */
     uint64_t digest;
     int64_t deadline_us;
   } LcAgentAttempt;
 
   typedef enum
   {
-    LC_AGENT_START = 1,   /* run_id: send it to the backend server */
-    LC_AGENT_STOP = 2,    /* run_id: cancel it there */
-    LC_AGENT_FORGET = 3,  /* run_id: drop its payload */
-    LC_AGENT_ANSWER = 4,  /* answer */
-    LC_AGENT_REFUSE = 5,  /* refuse */
-    LC_AGENT_CLAIM = 6,   /* claim: ask this home */
-    LC_AGENT_RELEASE = 7, /* claim */
-    LC_AGENT_READ = 8,    /* read: ask this member for its claims */
-    LC_AGENT_KEEP = 9,    /* keep: a claim as it stands now, for a process that starts again; before
-                           * any later action and before the reply to the call that brought it */
-    LC_AGENT_HELD_UP =
-        10, /* held_up: its key can't be claimed for now; told once a run, for logs */
+    LC_AGENT_START = 1,    /* run_id: send it to the backend server */
+    LC_AGENT_STOP = 2,     /* run_id: cancel it at the backend server */
+    LC_AGENT_FORGET = 3,   /* run_id: drop its payload */
+    LC_AGENT_ANSWER = 4,   /* answer */
+    LC_AGENT_REFUSE = 5,   /* refuse */
+    LC_AGENT_CLAIM = 6,    /* claim: send it to the home */
+    LC_AGENT_RELEASE = 7,  /* claim: release it at the home */
+    LC_AGENT_READ = 8,     /* read: request the member's claims */
+    LC_AGENT_KEEP = 9,     /* keep: persist the claim for a restart, before any later action and
+                           * before the reply to the call that changed it */
+    LC_AGENT_HELD_UP = 10, /* held_up: the key can't be claimed for now; once a run, for logs */
   } LcAgentActionKind;
 
   typedef struct
@@ -95,7 +93,7 @@
       struct
       {
         LcAsk ask;
-        LcAnswer *answer; /* a reference of the action's own */
+        LcAnswer *answer; /* the action owns a reference */
         bool is_replayed;
       } answer;
       struct
@@ -121,13 +119,13 @@
       } read;
       struct
       {
-        LcAsk ask; /* the first that waits for the run */
+        LcAsk ask; /* the first attempt that waits for the run */
         LcRequestKey key;
         LcMemberRef home;  /* none: there is no home, or none has answered */
         LcClaimResult why; /* 0: no answer */
         int64_t deadline_us;
       } held_up;
-      LcClaimHold keep; /* expires_us 0: it is held no more */
+      LcClaimHold keep; /* expires_us 0: the claim was removed */
     };
   } LcAgentAction;
 
@@ -136,7 +134,7 @@
     uint64_t runs_total;
     uint64_t replayed_total;
     uint64_t refused_total;
-    uint64_t duplicates_total; /* attempts seen before */
+    uint64_t duplicates_total; /* attempts received more than once */
     uint64_t held_total;
     uint64_t unclaimed_total;
     uint64_t unknown_total;
@@ -150,59 +148,59 @@
     LcClaimEra era;
     LcRequestAgentStats stats;
     GHashTable *runs;   /* run id -> LcRun, owned */
-    GHashTable *active; /* LcRun that are not over */
+    GHashTable *active; /* LcRun that have not ended */
     GHashTable *by_key; /* LcRequestKey -> LcRun */
     GHashTable
-        *seen; /* LcAsk without its link -> when to forget it, and whether it is a tombstone */
+        *seen; /* LcAsk without its link -> LcSeen, for deduplication and early cancellations */
     GArray *actions;
     guint n_taken;
     GQueue answered; /* LcRun with a recorded answer, oldest first */
-    GQueue closed;   /* LcRun that are over and on record, oldest first */
+    GQueue closed;   /* LcRun that have ended and are on record, oldest first */
     uint64_t answer_bytes;
     uint64_t next_run_id;
     uint64_t next_sequence;
-    int64_t read_us; /* when members were asked last */
+    int64_t read_us; /* when claims were last requested from members */
     int64_t expired_us;
     bool is_draining;
-    bool is_evacuated; /* its data centre is: nothing new is run, what runs goes on */
+    bool is_evacuated; /* its data centre is: no new run starts, running ones continue */
   } LcRequestAgent;
 
   void lc_request_agent_init (LcRequestAgent *agent, const LcRequestAgentDesc *desc);
   void lc_request_agent_finish (LcRequestAgent *agent);
 
-  /* Goes on with what an earlier process kept; call both right after init, the claims first. */
+  /* Restores what an earlier process persisted; call both right after init, the claims first. */
   void lc_request_agent_resume_claim (LcRequestAgent *agent, const LcClaimHold *hold);
   void lc_request_agent_resume (LcRequestAgent *agent, const LcClaimEraState *state);
 
-  /* Takes the newest view's service (NULL: not there) and this agent's endpoint id. */
+  /* Sets the newest view's service (NULL: none) and this agent's endpoint id (0: unchanged). */
   void lc_request_agent_view (LcRequestAgent *agent,
                               const LcService *service,
                               LcEndpointId self_id,
                               int64_t now_us);
 
-  /* Whether the newest view has its data centre as evacuated.  What waits then is refused as not
-   * run, so that its balancer can place it elsewhere. */
+  /* Sets whether the newest view has this agent's data centre as evacuated.  Queued runs are then
+   * refused as not run, so that the balancer can send them elsewhere. */
   void lc_request_agent_set_evacuated (LcRequestAgent *agent, bool is_evacuated);
 
-  /* A whole attempt has arrived.  Returns the id of the run whose payload it brings, else 0. */
+  /* Handles a completely received attempt.  Returns the run whose payload it carries, else 0. */
   uint64_t
   lc_request_agent_attempt (LcRequestAgent *agent, const LcAgentAttempt *attempt, int64_t now_us);
 
   void lc_request_agent_cancel (LcRequestAgent *agent, const LcAsk *ask, int64_t now_us);
 
-  /* The run is over.  `answer` counts with LC_RUN_OK (a reference is taken). */
+  /* Ends a run.  `answer` is used with LC_RUN_OK (a reference is taken). */
   void lc_request_agent_ended (
       LcRequestAgent *agent, uint64_t run_id, LcRunEnd how, LcAnswer *answer, int64_t now_us);
 
-  /* A link is gone: nobody there waits any more. */
+  /* Drops the attempts that came over a lost link. */
   void lc_request_agent_link_down (LcRequestAgent *agent, uint64_t link_id, int64_t now_us);
 
   void lc_request_agent_tick (LcRequestAgent *agent, int64_t now_us);
 
-  /* Takes no new run from now on; repeats of known keys are still answered. */
+  /* Refuses new runs from now on; repeats of recorded keys are still answered. */
   void lc_request_agent_drain (LcRequestAgent *agent);
 
-  /* As a home: another agent's claim. */
+  /* As a home: handles another agent's claim or release. */
   LcClaimResult lc_request_agent_claim (LcRequestAgent *agent,
                                         LcInstance home_instance,
                                         LcRequestKey key,
@@ -217,7 +215,7 @@
                                  LcInstance owner_instance,
                                  uint64_t sequence);
 
-  /* As an owner: a home's answer, or NOT_READY when it can't be reached. */
+  /* As an owner: a home's reply, or NOT_READY when the home is unreachable. */
   typedef struct
   {
     LcMemberRef home;
@@ -226,14 +224,14 @@
     LcRevision era;
     LcClaimResult result;
     LcMemberRef holder;
-    int64_t lost_for_us; /* NOT_READY: and not before so long; 0: soon, or not known */
+    int64_t lost_for_us; /* NOT_READY: for at least so long; 0: less, or not known */
   } LcClaimReply;
   void
   lc_request_agent_claim_reply (LcRequestAgent *agent, const LcClaimReply *reply, int64_t now_us);
 
-  /* As a member that is read for a step to `asked`: what to say of itself, and of the members that
-   * it was before; then every record that the reader needs.  Returns how many sources there are,
-   * itself first. */
+  /* As a member that is read from for the era `asked`: writes its state, once for each of its
+   * incarnations, the present one first, and returns their number; then calls `each` for every
+   * record that the reader needs. */
   uint32_t lc_request_agent_sources (const LcRequestAgent *agent,
                                      LcRevision asked,
                                      int64_t now_us,
@@ -246,17 +244,17 @@
                                  void (*each) (void *user, const LcClaimHold *hold),
                                  void *user);
 
-  /* As the reader: one record; then, when all have come, each source. */
+  /* As the reader: merges one record; then, when all have arrived, handles each source. */
   void lc_request_agent_record (LcRequestAgent *agent, const LcClaimHold *hold);
   void
   lc_request_agent_read_done (LcRequestAgent *agent, const LcClaimSource *source, int64_t now_us);
 
-  /* The newest view revision up to which this agent has done its part, given the view's own. */
+  /* The newest revision for which this agent holds all claims, at most `view_revision`. */
   LcRevision lc_request_agent_registered (const LcRequestAgent *agent, LcRevision view_revision);
 
   bool lc_request_agent_is_idle (const LcRequestAgent *agent);
 
-  /* Pops the oldest action; clear it after use. */
+  /* Pops the oldest action, false when there is none; clear it after use. */
   bool lc_request_agent_take (LcRequestAgent *agent, LcAgentAction *action);
   void lc_agent_action_clear (LcAgentAction *action);
 
--- a/src/core/request/lc-request-balancer-private.h
+++ b/src/core/request/lc-request-balancer-private.h
@@ -1,7 +1,7 @@
-/* lc-request-balancer-private: what the parts of lc-request-balancer share.
+/* lc-request-balancer-private: declarations shared by the sources of lc-request-balancer.
  *
  * WHAT IT IS
- *   lc-request-balancer.c  events: requests, answers, links, time
+ *   lc-request-balancer.c  events: requests, answers, links, timeouts
  *   lc-request-flight.c    services, flights and their attempts
  */
 #ifndef LC_REQUEST_BALANCER_PRIVATE_H
@@ -19,7 +19,7 @@
 
 #define LC_BALANCER_CONNECT_US LC_US_PER_S
 
-/* What is kept of one service. */
+/* The state of one service. */
 typedef struct
 {
   LcServiceId id;
@@ -36,14 +36,14 @@
   LcRequestId request_id;
   LcServiceState *service;
   LcAttempt attempt;
-  uint8_t counted; /* bit an attempt: it is in its target's `outstanding` */
-  bool is_waiting; /* for an endpoint to be reachable */
+  uint8_t counted; /* one bit per attempt: it counts in its target's `outstanding` */
+  bool is_waiting; /* until an endpoint is reachable */
   int64_t waiting_since_us;
-  LcMemberRef owner; /* of the claim, while only it can answer */
+  LcMemberRef owner; /* of the key's claim, while only it can answer; else none */
   bool is_hedged;
   bool is_limited;
   uint32_t caller;
-  int64_t sent_us; /* newest attempt */
+  int64_t sent_us; /* of the newest attempt */
   int64_t retry_after_us;
 } LcFlight;
 
--- a/src/core/request/lc-request-balancer.c
+++ b/src/core/request/lc-request-balancer.c
@@ -129,11 +129,11 @@
   lc_balancer__settle_counts (flight);
   if (step.kind != LC_STEP_RETRY)
     return;
-  /* Nothing was sent, so it does not count as one of the request's attempts. */
+  /* Not sent, so it does not count towards LC_ATTEMPT_MAX. */
   if (number == flight->attempt.n_attempts)
     flight->attempt.n_attempts--;
   if (flight->owner.instance != 0)
-    lc_balancer__wait (flight, now_us); /* nobody else can answer */
+    lc_balancer__wait (flight, now_us); /* no other agent can answer */
   else
     lc_balancer__again (balancer, flight, now_us);
 }
@@ -206,7 +206,7 @@
 
 /* === public: links and reports ============================================================== */
 
-/* Steps may end flights, so they go over a copy of the list. */
+/* Steps may end flights, so loops iterate over a copy of the list. */
 static LcFlight **
 lc_balancer__flights (const LcRequestBalancer *b, guint *n)
 {
--- a/src/core/request/lc-request-balancer.h
+++ b/src/core/request/lc-request-balancer.h
@@ -1,9 +1,9 @@
-/* lc-request-balancer: every decision of a balancer's request plane.
+/* lc-request-balancer: the state machine of a balancer's request plane, without I/O.
  *
  * WHAT IT IS
- *   A state machine over requests in flight.  A request passes the filter chain, then attempts go
- *   to agents until one brings its whole answer or the request is given up; a request that is
- *   given up is ended at once.  It does no I/O: each call appends actions.
+ *   A request passes the filter chain, then attempts are sent to agents until one returns a
+ *   complete answer or the request fails; its other attempts are then cancelled.  Each call appends
+ *   actions, which the caller takes and executes.
  *
  * HOW TO USE IT
  *     lc_request_balancer_init (&balancer, &(LcRequestBalancerDesc){ .own_dc = dc });
@@ -11,18 +11,19 @@
  *     flight_id = lc_request_balancer_start (&balancer, &request, &verdict);    0: refused
  *     while (lc_request_balancer_take (&balancer, &action)) switch (action.kind)
  *       SEND    connect and send; then lc_request_balancer_sent or _unsent
- *       CANCEL  tell the agent that nobody waits for this attempt
- *       ANSWER  the answer just given to lc_request_balancer_answered goes to this caller
- *       FAIL    tell the caller action.fail
+ *       CANCEL  send the agent a cancellation of this attempt
+ *       ANSWER  send the caller the answer just passed to lc_request_balancer_answered
+ *       FAIL    report action.fail to the caller
  *     lc_request_balancer_tick (&balancer, now_us);              every few milliseconds
  *     lc_request_balancer_finish (&balancer);
  *
  * LIFETIME
- *   Keeps a pointer to the view given last.  A flight ends with ANSWER, FAIL or _gone.
+ *   Keeps a pointer to the view set last.  A flight ends with ANSWER, FAIL or _gone.
  *
  * LIMITS
- *   Counters of outstanding attempts are kept per instance; see lc-pick.  State is kept only for
- *   services that had a request, and a view change costs only those whose members it changed.
+ *   Outstanding attempts are counted per instance; see lc-pick.
+ *   State is kept only for services that had a request, and a view change costs time only for those
+ *   whose members it changed.
  */
 #ifndef LC_REQUEST_BALANCER_H
 #define LC_REQUEST_BALANCER_H
@@ -41,10 +42,10 @@
     LcDcId own_dc;
     uint64_t seed;       /* of the random choices */
     uint32_t choices;    /* see lc-pick */
-    bool has_no_hedge;   /* measure without hedging */
+    bool has_no_hedge;   /* for measurements */
     int64_t distance_us; /* see lc-pick */
     int64_t ramp_us;     /* see lc-pick */
-    int64_t connect_us;  /* how long an endpoint counts as unreachable; 0: 1 s */
+    int64_t connect_us;  /* how long a request waits for a connection; 0: 1 s */
   } LcRequestBalancerDesc;
 
   typedef enum
@@ -93,7 +94,7 @@
     uint64_t answered_total;
     uint64_t not_run_total;
     uint64_t unknown_total;
-    uint64_t dropped_total; /* late, doubled or crossed messages */
+    uint64_t dropped_total; /* late, duplicate or misdirected messages */
   } LcRequestBalancerStats;
 
   typedef struct
@@ -108,7 +109,7 @@
     guint n_taken;
     uint64_t next_flight_id;
     uint64_t random;
-    int64_t now_us; /* of the newest request */
+    int64_t now_us; /* arrival of the newest request */
     LcRequestBalancerStats stats;
   } LcRequestBalancer;
 
@@ -116,12 +117,12 @@
   void lc_request_balancer_finish (LcRequestBalancer *balancer);
   void lc_request_balancer_view (LcRequestBalancer *balancer, const LcView *view, int64_t now_us);
 
-  /* Runs the filters; 0 and `verdict` when one refuses. */
+  /* Runs the filters and starts a flight; 0 and `verdict` when a filter refuses. */
   uint64_t lc_request_balancer_start (LcRequestBalancer *balancer,
                                       LcFilterRequest *request,
                                       LcFilterVerdict *verdict);
 
-  /* The answer to a SEND action. */
+  /* The result of a SEND action. */
   void lc_request_balancer_sent (LcRequestBalancer *balancer,
                                  uint64_t flight_id,
                                  uint32_t number,
@@ -131,7 +132,7 @@
                                    uint32_t number,
                                    int64_t now_us);
 
-  /* Where a message came from: a flight's attempt on the link it was sent on. */
+  /* Identifies the attempt that a message belongs to, with the link that it came over. */
   typedef struct
   {
     LcRequestId id;
@@ -139,7 +140,7 @@
     uint64_t link_id;
   } LcAttemptRef;
 
-  /* Returns the flight whose answer this is, or 0: drop it. */
+  /* Returns the flight that the answer completes, else 0. */
   uint64_t lc_request_balancer_answered (LcRequestBalancer *balancer,
                                          const LcAttemptRef *ref,
                                          bool is_whole,
@@ -150,7 +151,7 @@
                                     const LcRefusal *refusal,
                                     int64_t retry_after_us,
                                     int64_t now_us);
-  /* Whether an attempt is still waited for, so that parts of its answer are worth keeping. */
+  /* Whether an attempt is open, so that parts of its answer must be buffered. */
   bool lc_request_balancer_is_open (const LcRequestBalancer *balancer, const LcAttemptRef *ref);
 
   void
@@ -164,7 +165,7 @@
                                    const LcPickReport *report,
                                    int64_t now_us);
 
-  /* The caller went away: its attempts are cancelled, nobody is told. */
+  /* The caller has disconnected: cancels its attempts without a FAIL. */
   void lc_request_balancer_gone (LcRequestBalancer *balancer, uint64_t flight_id, int64_t now_us);
 
   void lc_request_balancer_tick (LcRequestBalancer *balancer, int64_t now_us);
--- a/src/core/request/lc-request-flight.c
+++ b/src/core/request/lc-request-flight.c
@@ -47,7 +47,7 @@
   return g_hash_table_lookup (b->services, GUINT_TO_POINTER (id));
 }
 
-/* Which service's state an instance belongs to. */
+/* Adds the targets to the index by instance, or removes them. */
 static void
 lc_balancer__index (LcRequestBalancer *b, LcServiceState *state, bool is_there)
 {
@@ -62,7 +62,7 @@
     }
 }
 
-/* `service` is NULL when it was removed: its state stays while requests are in flight. */
+/* `service` is NULL when it was removed; its state stays for the requests in flight. */
 void
 lc_balancer__set_service (LcRequestBalancer *b,
                           LcServiceState *state,
@@ -98,7 +98,7 @@
   return state != NULL ? lc_pick_find (&state->pick, instance) : NULL;
 }
 
-/* The filters ask for a service's limits first, so this is where its state begins. */
+/* The limit filter is the first to need a service's state, so it is created here. */
 LcLimit *
 lc_balancer__limit (void *user, const LcService *service)
 {
@@ -137,7 +137,7 @@
   return g_hash_table_lookup (b->flights, &flight_id);
 }
 
-/* Takes attempts that are no longer open out of their targets' counts. */
+/* Removes attempts that are no longer open from their targets' outstanding counts. */
 void
 lc_balancer__settle_counts (LcFlight *flight)
 {
@@ -274,7 +274,7 @@
     }
 }
 
-/* The first attempt, or the next one after waiting: to the owner of the claim if there is one. */
+/* Sends the first attempt, or the next one after waiting; to the owner of the claim if any. */
 void
 lc_balancer__again (LcRequestBalancer *b, LcFlight *flight, int64_t now_us)
 {
--- a/src/core/request/lc-request-frames.h
+++ b/src/core/request/lc-request-frames.h
@@ -19,17 +19,17 @@
   LC_FRAME_CLAIM_RELEASE = 422,
   LC_FRAME_CLAIM_READ = 423,
   LC_FRAME_CLAIM_READ_ANSWER = 424,
-  /* in the file of claims only: lc-claim-file.h */
+  /* only in the claim file: lc-claim-file.h */
   LC_FRAME_CLAIM_FILE_HEAD = 430,
   LC_FRAME_CLAIM_FILE_ENTRY = 431,
 } LcRequestFrameType;
 
 enum
 {
-  LC_REQUEST_PART_BYTES = 256 << 10, /* of a body in one frame */
-  LC_REQUEST_MAX_BODY = 16 << 20,    /* of a request or an answer */
+  LC_REQUEST_PART_BYTES = 256 << 10, /* bytes of a body per frame */
+  LC_REQUEST_MAX_BODY = 16 << 20,    /* bytes of a request's or an answer's body */
   LC_REQUEST_MAX_HEADERS = 100,
-  LC_REQUEST_READ_RECORDS = 4096, /* claim records in one frame */
+  LC_REQUEST_READ_RECORDS = 4096, /* claim records per frame */
 };
 
 #endif /* LC_REQUEST_FRAMES_H */
--- a/src/core/request/lc-retry.h
+++ b/src/core/request/lc-retry.h
@@ -1,10 +1,10 @@
 /* lc-retry: the retry budget of one service at one balancer.
  *
  * WHAT IT IS
- *   Retries and hedges may be at most a share of recent requests, so that they can't amplify an
- *   overload.  Each request puts percent/100 of a token into a bucket, each retry takes one token.
- *   A retry after a refusal that only says "not here" (draining, replaced instance, lost link
- *   before sending) is free, because it does not ask for more work than the request itself.
+ *   A token bucket that bounds retries and hedges to a share of recent requests, so that they can't
+ *   amplify an overload.  Each request deposits percent/100 of a token, each retry takes one token.
+ *   A retry after a refusal for reasons of the endpoint (draining, replaced instance) or a failed
+ *   send is free, because it adds no load to that of the request itself.
  *
  * LIFETIME
  *   A plain value.
@@ -21,9 +21,9 @@
 
   enum
   {
-    LC_RETRY_TOKEN = 1000,     /* thousandths in a token */
-    LC_RETRY_MAX_TOKENS = 10,  /* saved up at most */
-    LC_RETRY_FIRST_TOKENS = 2, /* there from the start */
+    LC_RETRY_TOKEN = 1000,     /* in thousandths */
+    LC_RETRY_MAX_TOKENS = 10,  /* the bucket's capacity */
+    LC_RETRY_FIRST_TOKENS = 2, /* initially in the bucket */
     LC_RETRY_PERCENT = 10,
     LC_RETRY_MAX_PERCENT = 100,
   };
