--- a/src/core/request/lc-admission.c
+++ b/src/core/request/lc-admission.c
@@ -57,9 +57,9 @@
 static void
 lc_admission__cut (LcAdmission *a, int64_t now_us)
 {
-  if (now_us - a->cut_us < a->service_us)
+  if (now_us - a->last_cut_us < a->service_us)
     return;
-  a->cut_us = now_us;
+  a->last_cut_us = now_us;
   a->ok_since_cut = 0;
   a->limit = a->limit * 3 / 4;
   if (a->limit == 0)
@@ -140,18 +140,18 @@
 }
 
 void
-lc_admission_end (LcAdmission *admission, LcRunEnd how, int64_t started_us, int64_t now_us)
+lc_admission_end (LcAdmission *admission, LcRunEnd result, int64_t started_us, int64_t now_us)
 {
   int64_t took_us = now_us > started_us ? now_us - started_us : 0;
 
   if (admission->running > 0)
     admission->running--;
-  if (how == LC_RUN_OK)
+  if (result == LC_RUN_OK)
     {
       admission->service_us += (took_us - admission->service_us) / LC_ADMISSION_SMOOTHING;
       lc_admission__grow (admission);
     }
-  if (how == LC_RUN_SHED)
+  if (result == LC_RUN_SHED)
     lc_admission__cut (admission, now_us);
 }
 
--- a/src/core/request/lc-admission.h
+++ b/src/core/request/lc-admission.h
@@ -11,7 +11,7 @@
  *     lc_admission_init (&admission, &(LcAdmissionDesc){ .slots = 4 });
  *     r = lc_admission_submit (&admission, ticket, deadline_us, now_us, &retry_after_us);
  *     LC_ADMISSION_START: run it now; QUEUED: `lc_admission_next` returns it later; else refused
- *     lc_admission_end (&admission, how, started_us, now_us);   a run has ended
+ *     lc_admission_end (&admission, result, started_us, now_us);   a run has ended
  *     while (lc_admission_next (&admission, now_us, &ticket)) start (ticket);
  *     while (lc_admission_expire (&admission, now_us, &ticket)) refuse (ticket);
  *
@@ -75,7 +75,7 @@
     uint32_t running;
     uint32_t limit;
     uint32_t ok_since_cut;
-    int64_t cut_us;
+    int64_t last_cut_us;
     int64_t service_us; /* smoothed */
     bool is_closed;
   } LcAdmission;
@@ -94,7 +94,8 @@
   /* Removes a queued request; false when it is not queued. */
   bool lc_admission_withdraw (LcAdmission *admission, uint64_t ticket);
 
-  void lc_admission_end (LcAdmission *admission, LcRunEnd how, int64_t started_us, int64_t now_us);
+  void
+  lc_admission_end (LcAdmission *admission, LcRunEnd result, int64_t started_us, int64_t now_us);
 
   /* Pops the next request to start, if a slot is free; it counts as running from then on. */
   bool lc_admission_next (LcAdmission *admission, int64_t now_us, uint64_t *ticket);
--- a/src/core/request/lc-claim-era.c
+++ b/src/core/request/lc-claim-era.c
@@ -104,7 +104,7 @@
 lc_claim_era__clear_step (LcClaimEra *era, int64_t now_us)
 {
   g_array_set_size (era->sources, 0);
-  g_array_set_size (era->before, 0);
+  g_array_set_size (era->of_previous, 0);
   g_array_set_size (era->stalled, 0);
   era->step_since_us = now_us;
 }
@@ -129,8 +129,8 @@
 {
   uint32_t n = 0;
 
-  for (guint i = 0; i < era->before->len; i++)
-    n += g_array_index (era->before, gboolean, i) == before;
+  for (guint i = 0; i < era->of_previous->len; i++)
+    n += g_array_index (era->of_previous, gboolean, i) == before;
   return n;
 }
 
@@ -201,7 +201,7 @@
   era->sets = lc_claim_era__new_sets ();
   era->alive = g_array_new (FALSE, TRUE, sizeof (LcMemberRef));
   era->sources = g_array_new (FALSE, TRUE, sizeof (LcMemberRef));
-  era->before = g_array_new (FALSE, TRUE, sizeof (gboolean));
+  era->of_previous = g_array_new (FALSE, TRUE, sizeof (gboolean));
   era->stalled = g_array_new (FALSE, TRUE, sizeof (LcClaimStalled));
 }
 
@@ -211,7 +211,7 @@
   g_array_free (era->sets, TRUE);
   g_array_free (era->alive, TRUE);
   g_array_free (era->sources, TRUE);
-  g_array_free (era->before, TRUE);
+  g_array_free (era->of_previous, TRUE);
   g_array_free (era->stalled, TRUE);
   memset (era, 0, sizeof *era);
 }
@@ -459,7 +459,7 @@
   if (target >= era->sets->len || lc_claim_era__is_source (era, source->member))
     return;
   set = lc_claim_era__set (era, target);
-  if (source->asked != set->since)
+  if (source->target_era != set->since)
     return; /* a late answer to an earlier step: it may lack records that this one needs */
   lc_claim_era__note_stalled (era, source, now_us);
   former = lc_claim_era__former (era, target);
@@ -468,7 +468,7 @@
   if (!before && !lc_claim_era__was_whole_at (source, set))
     return;
   g_array_append_val (era->sources, source->member);
-  g_array_append_val (era->before, before);
+  g_array_append_val (era->of_previous, before);
   lc_claim_era__advance (era, now_us);
 }
 
@@ -529,7 +529,7 @@
 
   for (guint i = 0; i < era->sources->len; i++)
     {
-      const LcClaimSet *of = g_array_index (era->before, gboolean, i) ? former : set;
+      const LcClaimSet *of = g_array_index (era->of_previous, gboolean, i) ? former : set;
 
       if (lc_claim_is_home (key, of->members, of->n_members,
                             g_array_index (era->sources, LcMemberRef, i)))
--- a/src/core/request/lc-claim-era.h
+++ b/src/core/request/lc-claim-era.h
@@ -101,7 +101,7 @@
     GArray *alive;         /* LcMemberRef: members in the view that are not lost */
     GArray *sources;       /* LcMemberRef: members read from in the present step */
     GArray *stalled;       /* LcClaimStalled, of the present step */
-    GArray *before;        /* gboolean for each source: of the previous set, else of the target */
+    GArray *of_previous;   /* gboolean for each source: of the previous set, else of the target */
     int64_t step_since_us;
     uint64_t lost_total;
   } LcClaimEra;
@@ -141,7 +141,7 @@
   typedef struct
   {
     LcMemberRef member;
-    LcRevision asked;      /* the target era of the read, by which it chose its records */
+    LcRevision target_era; /* the target era of the read, by which it chose its records */
     LcRevision era;        /* newest era that it has applied */
     LcRevision whole;      /* newest era at which it is complete */
     LcRevision whole_from; /* complete at every era since this one */
--- a/src/core/request/lc-outlier.c
+++ b/src/core/request/lc-outlier.c
@@ -15,25 +15,25 @@
   uint32_t failures = desc->failures != 0 ? desc->failures : LC_OUTLIER_FAILURES;
   int64_t first_us = desc->first_us != 0 ? desc->first_us : LC_OUTLIER_FIRST_US;
   int64_t longest_us = desc->longest_us != 0 ? desc->longest_us : LC_OUTLIER_LONGEST_US;
-  int64_t length_us;
+  int64_t ejection_us;
 
-  outlier->in_a_row++;
-  if (outlier->in_a_row < failures || lc_outlier_is_ejected (outlier, now_us))
+  outlier->consecutive++;
+  if (outlier->consecutive < failures || lc_outlier_is_ejected (outlier, now_us))
     return false;
-  length_us =
+  ejection_us =
       first_us << (outlier->ejections < LC_OUTLIER_MAX_DOUBLINGS ? outlier->ejections
                                                                  : LC_OUTLIER_MAX_DOUBLINGS);
-  outlier->until_us = now_us + (length_us < longest_us ? length_us : longest_us);
+  outlier->until_us = now_us + (ejection_us < longest_us ? ejection_us : longest_us);
   outlier->ejections++;
   /* After the ejection a single failure ejects again. */
-  outlier->in_a_row = failures - 1;
+  outlier->consecutive = failures - 1;
   return true;
 }
 
 void
 lc_outlier_success (LcOutlier *outlier)
 {
-  outlier->in_a_row = 0;
+  outlier->consecutive = 0;
   outlier->ejections = 0;
   outlier->until_us = 0;
 }
--- a/src/core/request/lc-outlier.h
+++ b/src/core/request/lc-outlier.h
@@ -27,7 +27,7 @@
 
   typedef struct
   {
-    uint32_t in_a_row;
+    uint32_t consecutive; /* failures */
     uint32_t ejections;
     int64_t until_us;
   } LcOutlier;
--- a/src/core/request/lc-pick.c
+++ b/src/core/request/lc-pick.c
@@ -66,15 +66,15 @@
 static int64_t
 lc_pick__others (const LcPick *pick, const LcPickTarget *target, int64_t now_us)
 {
-  int64_t age_us = now_us > target->reported_us ? now_us - target->reported_us : 0;
+  int64_t age_us = now_us > target->last_report_us ? now_us - target->last_report_us : 0;
   int64_t halvings = age_us / pick->desc.half_life_us;
   int64_t rest_us = age_us % pick->desc.half_life_us;
-  int64_t others;
+  int64_t others_load;
 
   if (halvings > LC_PICK_MAX_HALVINGS)
     return 0;
-  others = ((int64_t)target->others << 8) >> halvings;
-  return others - others * rest_us / pick->desc.half_life_us / 2;
+  others_load = ((int64_t)target->others_load << 8) >> halvings;
+  return others_load - others_load * rest_us / pick->desc.half_life_us / 2;
 }
 
 /* The load of all balancers, in 1/256 of a request. */
@@ -104,7 +104,7 @@
   if (target->dc != pick->desc.own_dc && pick->desc.own_dc != 0)
     score += pick->desc.distance_us;
   score += service_us / LC_PICK_SLOWNESS;
-  return score + LC_PICK_SERVICE_US * target->refusals / 256;
+  return score + LC_PICK_SERVICE_US * target->shed_share / 256;
 }
 
 /* === private: choosing ====================================================================== */
@@ -124,7 +124,8 @@
 static bool
 lc_pick__is_avoided (const LcPick *pick, const LcPickTarget *target, int64_t now_us)
 {
-  bool is_silent = target->outstanding > 0 && now_us - target->heard_us > pick->desc.silence_us;
+  bool is_silent =
+      target->outstanding > 0 && now_us - target->last_message_us > pick->desc.silence_us;
 
   return is_silent || lc_outlier_is_ejected (&target->outlier, now_us);
 }
@@ -236,7 +237,7 @@
 lc_pick_begin (LcPickTarget *target, int64_t now_us)
 {
   if (target->outstanding == 0)
-    target->heard_us = now_us;
+    target->last_message_us = now_us;
   target->outstanding++;
 }
 
@@ -250,9 +251,9 @@
 void
 lc_pick_note (LcPickTarget *target, bool is_shed)
 {
-  target->refusals -= target->refusals / LC_PICK_SMOOTHING;
+  target->shed_share -= target->shed_share / LC_PICK_SMOOTHING;
   if (is_shed)
-    target->refusals += 256 / LC_PICK_SMOOTHING;
+    target->shed_share += 256 / LC_PICK_SMOOTHING;
 }
 
 void
@@ -263,9 +264,9 @@
 
   if (target == NULL)
     return;
-  target->others = all > target->outstanding ? all - target->outstanding : 0;
-  target->reported_us = now_us;
-  target->heard_us = now_us;
+  target->others_load = all > target->outstanding ? all - target->outstanding : 0;
+  target->last_report_us = now_us;
+  target->last_message_us = now_us;
   target->service_us = report->service_us;
   target->is_draining = report->is_draining;
   if (report->limit > 0)
--- a/src/core/request/lc-pick.h
+++ b/src/core/request/lc-pick.h
@@ -59,12 +59,12 @@
     uint32_t slots;
     uint32_t weight_percent;
     uint32_t outstanding; /* this balancer's open attempts */
-    uint32_t others;      /* other balancers' requests by the newest report */
-    int64_t reported_us;
-    int64_t service_us; /* 0: not reported yet */
-    int64_t joined_us;  /* begin of slow start; 0: none */
-    int64_t heard_us;   /* last message, or first attempt sent after none were open */
-    uint32_t refusals;  /* smoothed share of attempts shed by its backend server, in 1/256 */
+    uint32_t others_load; /* other balancers' requests by the newest report */
+    int64_t last_report_us;
+    int64_t service_us;      /* 0: not reported yet */
+    int64_t joined_us;       /* begin of slow start; 0: none */
+    int64_t last_message_us; /* last message, or first attempt sent after none were open */
+    uint32_t shed_share;     /* smoothed share of attempts shed by its backend server, in 1/256 */
     bool is_draining;
     bool is_evacuated;     /* its data centre is evacuated */
     bool is_reachable;     /* its link is up or was never tried */
--- a/src/core/request/lc-request-agent-claim.c
+++ b/src/core/request/lc-request-agent-claim.c
@@ -28,11 +28,11 @@
 {
   LcAgentAction *action;
 
-  if (run->is_held_up || run->asks->len == 0)
+  if (run->is_held_up || run->waiters->len == 0)
     return;
   run->is_held_up = true;
   action = lc_agent__act (agent, LC_AGENT_HELD_UP);
-  action->held_up.ask = g_array_index (run->asks, LcAsk, 0);
+  action->held_up.ask = g_array_index (run->waiters, LcAsk, 0);
   action->held_up.key = run->key;
   action->held_up.home = home;
   action->held_up.why = why;
@@ -116,7 +116,7 @@
 lc_agent__pause (LcRequestAgent *agent, LcRun *run, int64_t now_us)
 {
   run->state = LC_RUN_STATE_PAUSED;
-  run->again_us = now_us + lc_claim_try_pause_us (&run->claim);
+  run->next_round_us = now_us + lc_claim_try_pause_us (&run->claim);
 }
 
 void
@@ -126,7 +126,7 @@
   uint32_t n_members = present != NULL ? present->n_members : 0;
 
   run->state = LC_RUN_STATE_CLAIMING;
-  run->again_us = now_us + LC_AGENT_CLAIM_WAIT_US;
+  run->next_round_us = now_us + LC_AGENT_CLAIM_WAIT_US;
   lc_claim_try_start (&run->claim, run->key, agent->desc.self, ++agent->next_sequence,
                       lc_claim_era_now (&agent->era), present != NULL ? present->members : NULL,
                       n_members);
@@ -216,7 +216,7 @@
 
 uint32_t
 lc_request_agent_sources (const LcRequestAgent *agent,
-                          LcRevision asked,
+                          LcRevision target_era,
                           int64_t now_us,
                           LcClaimSource sources[LC_CLAIM_ERA_MAX_SELVES])
 {
@@ -226,7 +226,7 @@
   for (uint32_t i = 0; i < state.n_selves; i++)
     sources[i] =
         (LcClaimSource){ .member = state.selves[i],
-                         .asked = asked,
+                         .target_era = target_era,
                          .era = lc_claim_era_now (&agent->era),
                          .whole = state.whole,
                          .whole_from = state.whole_from,
@@ -286,7 +286,7 @@
 
   lc_claim_era_source (&agent->era, source, now_us);
   if (agent->era.whole != whole)
-    agent->read_us = 0;
+    agent->last_read_us = 0;
 }
 
 LcRevision
--- a/src/core/request/lc-request-agent-private.h
+++ b/src/core/request/lc-request-agent-private.h
@@ -29,7 +29,7 @@
 typedef enum
 {
   LC_RUN_STATE_CLAIMING = 1,
-  LC_RUN_STATE_PAUSED = 2, /* the next claim round starts at again_us */
+  LC_RUN_STATE_PAUSED = 2, /* the next claim round starts at next_round_us */
   LC_RUN_STATE_QUEUED = 3,
   LC_RUN_STATE_RUNNING = 4,
   LC_RUN_STATE_DONE = 5,
@@ -45,13 +45,13 @@
   bool is_check;
   uint64_t digest;
   int64_t deadline_us;
-  int64_t again_us; /* claim: start of the next round, or timeout of the present one */
+  int64_t next_round_us; /* claim: start of the next round, or timeout of the present one */
   int64_t started_us;
   int64_t expires_us;     /* when the record is dropped */
   int64_t retry_after_us; /* sent with a refusal; 0: computed from the queue */
   bool is_held_up;        /* LC_AGENT_HELD_UP was emitted */
   LcClaimTry claim;
-  GArray *asks;          /* LcAsk */
+  GArray *waiters;       /* LcAsk */
   LcRefuseReason reason; /* UNKNOWN */
   LcAnswer *answer;      /* DONE; NULL once dropped */
   GList *link;           /* in agent->answered */
--- a/src/core/request/lc-request-agent-run.c
+++ b/src/core/request/lc-request-agent-run.c
@@ -74,8 +74,8 @@
   LcRun *run = data;
 
   lc_answer_unref (run->answer);
-  if (run->asks != NULL)
-    g_array_free (run->asks, TRUE);
+  if (run->waiters != NULL)
+    g_array_free (run->waiters, TRUE);
   g_free (run);
 }
 
@@ -103,8 +103,8 @@
   run->is_check = attempt->is_check;
   run->digest = attempt->digest;
   run->deadline_us = attempt->deadline_us;
-  run->asks = g_array_new (FALSE, FALSE, sizeof (LcAsk));
-  g_array_append_val (run->asks, attempt->ask);
+  run->waiters = g_array_new (FALSE, FALSE, sizeof (LcAsk));
+  g_array_append_val (run->waiters, attempt->ask);
   g_hash_table_insert (agent->runs, &run->id, run);
   if (lc_agent__is_keyed (run))
     g_hash_table_insert (agent->by_key, &run->key, run);
@@ -168,10 +168,10 @@
 {
   bool is_checked = lc_agent__is_keyed (run) && run->state >= LC_RUN_STATE_QUEUED;
 
-  for (guint i = 0; i < run->asks->len; i++)
+  for (guint i = 0; i < run->waiters->len; i++)
     {
       LcAgentAction *action =
-          lc_agent__refuse (agent, &g_array_index (run->asks, LcAsk, i), reason, is_checked);
+          lc_agent__refuse (agent, &g_array_index (run->waiters, LcAsk, i), reason, is_checked);
 
       action->refuse.owner = owner;
       if (run->retry_after_us > 0)
@@ -197,8 +197,8 @@
       lc_agent__remove_run (agent, run);
       return;
     }
-  g_array_free (run->asks, TRUE);
-  run->asks = NULL;
+  g_array_free (run->waiters, TRUE);
+  run->waiters = NULL;
   g_hash_table_remove (agent->active, &run->id);
   lc_agent__act (agent, LC_AGENT_FORGET)->run_id = run->id;
   run->state = state;
@@ -209,8 +209,8 @@
 void
 lc_agent__close_unknown (LcRequestAgent *agent, LcRun *run, LcRefuseReason reason, int64_t now_us)
 {
-  for (guint i = 0; i < run->asks->len; i++)
-    lc_agent__refuse (agent, &g_array_index (run->asks, LcAsk, i), reason, false);
+  for (guint i = 0; i < run->waiters->len; i++)
+    lc_agent__refuse (agent, &g_array_index (run->waiters, LcAsk, i), reason, false);
   run->reason = reason;
   agent->stats.unknown_total++;
   lc_agent__close (agent, run, LC_RUN_STATE_UNKNOWN, now_us);
--- a/src/core/request/lc-request-agent.c
+++ b/src/core/request/lc-request-agent.c
@@ -25,7 +25,7 @@
     default:
       break;
     }
-  g_array_append_val (run->asks, attempt->ask);
+  g_array_append_val (run->waiters, attempt->ask);
   run->deadline_us = MAX (run->deadline_us, attempt->deadline_us);
   if (attempt->is_check || !run->is_check)
     return 0;
@@ -121,7 +121,7 @@
   lc_claim_era_set (&agent->era, service, now_us);
   if (lc_claim_era_now (&agent->era) == before)
     return;
-  agent->read_us = 0;
+  agent->last_read_us = 0;
   g_hash_table_iter_init (&iter, agent->active);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((LcRun *)value)->state == LC_RUN_STATE_CLAIMING)
@@ -186,9 +186,9 @@
     {
       LcRun *run = value;
 
-      for (guint i = 0; i < run->asks->len; i++)
+      for (guint i = 0; i < run->waiters->len; i++)
         {
-          const LcAsk *known = &g_array_index (run->asks, LcAsk, i);
+          const LcAsk *known = &g_array_index (run->waiters, LcAsk, i);
 
           *at = i;
           if (known->link_id == ask->link_id && known->attempt == ask->attempt &&
@@ -203,14 +203,14 @@
 static void
 lc_agent__leave (LcRequestAgent *agent, LcRun *run, guint at, int64_t now_us)
 {
-  LcAsk ask = g_array_index (run->asks, LcAsk, at);
+  LcAsk ask = g_array_index (run->waiters, LcAsk, at);
 
-  if (run->asks->len > 1)
+  if (run->waiters->len > 1)
     {
       /* Other attempts still wait: this one won't run, but its key may. */
       bool is_running = run->state == LC_RUN_STATE_RUNNING;
 
-      g_array_remove_index (run->asks, at);
+      g_array_remove_index (run->waiters, at);
       lc_agent__refuse (agent, &ask, is_running ? LC_REFUSE_CANCELLED : LC_REFUSE_REVOKED, false);
       return;
     }
@@ -256,8 +256,8 @@
 static void
 lc_agent__end_ok (LcRequestAgent *agent, LcRun *run, LcAnswer *answer, int64_t now_us)
 {
-  for (guint i = 0; i < run->asks->len; i++)
-    lc_agent__answer (agent, &g_array_index (run->asks, LcAsk, i), answer, false);
+  for (guint i = 0; i < run->waiters->len; i++)
+    lc_agent__answer (agent, &g_array_index (run->waiters, LcAsk, i), answer, false);
   if (lc_agent__is_keyed (run))
     lc_agent__record_answer (agent, run, answer);
   lc_agent__close (agent, run, LC_RUN_STATE_DONE, now_us);
@@ -265,14 +265,14 @@
 
 void
 lc_request_agent_ended (
-    LcRequestAgent *agent, uint64_t run_id, LcRunEnd how, LcAnswer *answer, int64_t now_us)
+    LcRequestAgent *agent, uint64_t run_id, LcRunEnd result, LcAnswer *answer, int64_t now_us)
 {
   LcRun *run = g_hash_table_lookup (agent->runs, &run_id);
 
   if (run == NULL || run->state != LC_RUN_STATE_RUNNING)
     return;
-  lc_admission_end (&agent->admission, how, run->started_us, now_us);
-  switch (how)
+  lc_admission_end (&agent->admission, result, run->started_us, now_us);
+  switch (result)
     {
     case LC_RUN_OK:
       lc_agent__end_ok (agent, run, answer, now_us);
@@ -297,12 +297,12 @@
 static void
 lc_agent__leave_link (LcRequestAgent *agent, LcRun *run, uint64_t link_id, int64_t now_us)
 {
-  guint n_before = run->asks->len;
+  guint n_before = run->waiters->len;
 
-  for (guint i = run->asks->len; i > 0; i--)
-    if (g_array_index (run->asks, LcAsk, i - 1).link_id == link_id)
-      g_array_remove_index (run->asks, i - 1);
-  if (run->asks->len > 0 || n_before == 0)
+  for (guint i = run->waiters->len; i > 0; i--)
+    if (g_array_index (run->waiters, LcAsk, i - 1).link_id == link_id)
+      g_array_remove_index (run->waiters, i - 1);
+  if (run->waiters->len > 0 || n_before == 0)
     return;
   if (run->state != LC_RUN_STATE_RUNNING)
     {
@@ -359,7 +359,7 @@
           agent->stats.unclaimed_total++;
           lc_agent__abandon_plain (agent, run, LC_REFUSE_UNCLAIMED);
         }
-      else if (now_us >= run->again_us)
+      else if (now_us >= run->next_round_us)
         {
           if (run->state == LC_RUN_STATE_CLAIMING)
             lc_agent__note_held_up (agent, run, (LcMemberRef){ 0 }, 0);
@@ -383,11 +383,11 @@
   uint32_t n;
 
   if (lc_claim_era_target (&agent->era) == 0 ||
-      (now_us - agent->read_us < LC_AGENT_READ_EVERY_US && agent->read_us != 0))
+      (now_us - agent->last_read_us < LC_AGENT_READ_EVERY_US && agent->last_read_us != 0))
     return;
   members = g_new (LcMemberRef, max + 1);
   n = lc_claim_era_wanted (&agent->era, members, max);
-  agent->read_us = now_us;
+  agent->last_read_us = now_us;
   for (uint32_t i = 0; i < n; i++)
     {
       LcAgentAction *action = lc_agent__act (agent, LC_AGENT_READ);
@@ -404,9 +404,9 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (now_us - agent->expired_us < LC_AGENT_EXPIRE_EVERY_US)
+  if (now_us - agent->last_expiry_us < LC_AGENT_EXPIRE_EVERY_US)
     return;
-  agent->expired_us = now_us;
+  agent->last_expiry_us = now_us;
   lc_claim_store_expire (&agent->store, now_us);
   g_hash_table_iter_init (&iter, agent->seen);
   while (g_hash_table_iter_next (&iter, NULL, &value))
--- a/src/core/request/lc-request-agent.h
+++ b/src/core/request/lc-request-agent.h
@@ -159,8 +159,8 @@
     uint64_t answer_bytes;
     uint64_t next_run_id;
     uint64_t next_sequence;
-    int64_t read_us; /* when claims were last requested from members */
-    int64_t expired_us;
+    int64_t last_read_us; /* when claims were last requested from members */
+    int64_t last_expiry_us;
     bool is_draining;
     bool is_evacuated; /* its data centre is: no new run starts, running ones continue */
   } LcRequestAgent;
@@ -190,7 +190,7 @@
 
   /* Ends a run.  `answer` is used with LC_RUN_OK (a reference is taken). */
   void lc_request_agent_ended (
-      LcRequestAgent *agent, uint64_t run_id, LcRunEnd how, LcAnswer *answer, int64_t now_us);
+      LcRequestAgent *agent, uint64_t run_id, LcRunEnd result, LcAnswer *answer, int64_t now_us);
 
   /* Drops the attempts that came over a lost link. */
   void lc_request_agent_link_down (LcRequestAgent *agent, uint64_t link_id, int64_t now_us);
@@ -229,11 +229,11 @@
   void
   lc_request_agent_claim_reply (LcRequestAgent *agent, const LcClaimReply *reply, int64_t now_us);
 
-  /* As a member that is read from for the era `asked`: writes its state, once for each of its
+  /* As a member that is read from for the era `target_era`: writes its state, once for each of its
    * incarnations, the present one first, and returns their number; then calls `each` for every
    * record that the reader needs. */
   uint32_t lc_request_agent_sources (const LcRequestAgent *agent,
-                                     LcRevision asked,
+                                     LcRevision target_era,
                                      int64_t now_us,
                                      LcClaimSource sources[LC_CLAIM_ERA_MAX_SELVES]);
   void lc_request_agent_records (const LcRequestAgent *agent,
--- a/tests/request/fake-world.cc
+++ b/tests/request/fake-world.cc
@@ -51,7 +51,7 @@
   return next_link;
 }
 
-/* Both ends hear of it as of any message, some time. */
+/* Both ends are notified by a message, which may be delayed like any other. */
 void
 World::break_link (uint64_t id)
 {
@@ -220,7 +220,7 @@
         LcMemberRef asked = action.read.member;
         Message m;
 
-        m.to_agent = agent_of (asked); /* whoever is there now */
+        m.to_agent = agent_of (asked); /* the instance at that address now */
         m.deliver = [this, reader, members, self, asked_era = action.read.era, from = m.to_agent,
                      instance = p.instance] {
           std::vector<LcClaimSource> sources (LC_CLAIM_ERA_MAX_SELVES);
@@ -257,7 +257,7 @@
     }
 }
 
-/* What a process has written is there for the next one. */
+/* Restores what the previous process persisted. */
 void
 World::resume (Process &p)
 {
@@ -287,8 +287,7 @@
   executed[operations[operation]->token].push_back ({ operation, p.running[run_id] });
 }
 
-/* What the backend server does with a run: it may refuse it, run it and answer, or run it and lose
- * the answer. */
+/* Ends a run at the backend server: shed, run and answered, or run with the answer lost. */
 void
 World::end_run (Process &p, uint32_t arg)
 {
@@ -491,7 +490,7 @@
 
 /* === faults ================================================================================= */
 
-/* Nothing is left to be learned: every agent in the present set lives and is whole. */
+/* Whether every agent of the present set is alive and holds all claims that it must. */
 bool
 World::is_quiet ()
 {
@@ -504,8 +503,8 @@
   return true;
 }
 
-/* Memory of at most r - 1 members may be lost before the others have read it again.  Where agents
- * keep their claims any number may die at once. */
+/* Without persisted claims, at most r - 1 members may lose their memory before the others have read
+ * the claims again; with them any number may die at once. */
 void
 World::kill_agent (int i)
 {
@@ -520,7 +519,7 @@
     return;
   n_losses++;
   for (auto &[run_id, begun] : agents[i].running)
-    execute (agents[i], run_id); /* the backend server goes on */
+    execute (agents[i], run_id); /* the backend server continues */
   stop (agents[i]);
   for (auto &[id, link] : links)
     if (link.agent == i)
@@ -662,8 +661,8 @@
     }
 }
 
-/* "Not run" means: this copy never runs, and no copy had started when this one came.  When all
- * copies were told so, none of them ever runs. */
+/* "Not run" means that this copy never runs and that no copy had started when this one arrived.  If
+ * every copy got that outcome, none of them ever runs. */
 void
 World::check_not_run ()
 {
--- a/tests/request/fake-world.hh
+++ b/tests/request/fake-world.hh
@@ -1,7 +1,7 @@
-// A few agents and balancers made of the decision functions alone, with a network, a backend
-// server each and a caller that the test drives step by step.  Messages may be lost, doubled and
-// reordered at will; processes die with their memory; each process applies the committed view
-// operations when the test says so.
+// A simulation of a few agents and balancers, made of their state machines only, with a network, a
+// backend server per agent and callers, driven step by step by the test.  It can lose, duplicate
+// and reorder messages, kill processes with their memory, and let each process apply the committed
+// view operations at a different time.
 #pragma once
 
 #include "core/request/lc-request-agent.h"
@@ -36,7 +36,7 @@
   static constexpr int N_BALANCERS = 2;
   static constexpr int N_KEYS = 3;
 
-  // `keeps_claims`: an agent that starts again goes on with what the process before it has kept.
+  // `keeps_claims`: a restarted agent resumes the claims and state that its predecessor persisted.
   explicit World (bool keeps_claims = false) : keeps_claims (keeps_claims)
   {
     agents.resize (N_AGENTS);
@@ -63,10 +63,10 @@
       stop (b);
   }
 
-  // One step, chosen by `word`.
+  // Performs one step, selected by `word`.
   void step (uint32_t word);
 
-  // Lets everything end: all messages delivered, all deadlines passed.
+  // Delivers all messages, lets all deadlines pass, and checks the invariants.
   void finish ();
 
   Counts counts;
@@ -82,9 +82,9 @@
     LcInstance instance = 0;
     bool is_agent = false;
     int index = 0;
-    LcEndpointState committed = LC_ENDPOINT_NONE; // of this instance
-    std::map<uint64_t, int> payloads;             // run id -> operation that brought it
-    std::map<uint64_t, int> running; // run id at the backend server -> since which step
+    LcEndpointState committed = LC_ENDPOINT_NONE; // state of this instance in the view
+    std::map<uint64_t, int> payloads;             // run id -> operation that carried it
+    std::map<uint64_t, int> running; // run id at the backend server -> step at which it started
     std::map<uint64_t, int> flights; // flight id -> operation
     std::map<std::pair<uint64_t, uint64_t>, LcClaimHold> kept_claims; // by key
     LcClaimEraState kept_state = {};
@@ -92,7 +92,7 @@
 
   struct Operation
   {
-    std::string token; // what its own answer says
+    std::string token; // body of its own answer
     int key = -1;      // index of a caller's key, -1: none
     bool is_keyed = false;
     bool is_over = false;
@@ -110,14 +110,14 @@
     bool up;
   };
 
-  // What a backend server really did.
+  // A run that a backend server executed.
   struct Execution
   {
     int operation;
     int begun; // step
   };
 
-  // A message is delivered by calling it; `to` says whether the receiver still lives.
+  // `deliver` is called if the receiver is still the instance `to_instance`.
   struct Message
   {
     int to_agent = -1;
@@ -140,7 +140,7 @@
   uint64_t next_random = 1;
   int64_t now_us = 1000000;
   LcRevision revision = 0;
-  int n_losses = 0; // since all was quiet
+  int n_losses = 0; // agents killed since is_quiet
 
   void
   commit (LcViewOp op)
--- a/tests/request/prop-request.cc
+++ b/tests/request/prop-request.cc
@@ -1,5 +1,5 @@
-// Whatever is lost, late, doubled or crossed, whoever dies, and whenever views change: nothing
-// keyed runs twice, "not run" is true, nobody gets another's answer, and every request ends.
+// Under lost, late, duplicate and reordered messages, crashes and view changes: no keyed request
+// runs twice, "not run" is true, no caller gets another's answer, and every request ends.
 #include "fake-world.hh"
 
 #include <rapidcheck.h>
@@ -39,7 +39,7 @@
     RC_ASSERT (ok);
   });
 
-  /* A check that never gets an answer, or never a refusal, would prove nothing. */
+  /* Each outcome must occur, else the properties hold trivially. */
   std::printf ("answered %d not_run %d unknown %d\n", sum.answered, sum.not_run, sum.unknown);
   return is_good && sum.answered >= 100 && sum.not_run >= 100 && sum.unknown >= 100;
 }
@@ -47,10 +47,10 @@
 int
 main ()
 {
-  bool is_good = check ("a key runs at most once and callers are told the truth", false);
+  bool is_good = check ("a key runs at most once and every reported outcome is true", false);
 
-  /* Any number of agents may die at once where claims are kept for the next start. */
+  /* With persisted claims any number of agents may die at once. */
   is_good =
-      check ("the same when agents go on with the claims of the process before", true) && is_good;
+      check ("the same with agents that resume persisted claims after a restart", true) && is_good;
   return is_good ? 0 : 1;
 }
--- a/tests/request/test-claim-file.c
+++ b/tests/request/test-claim-file.c
@@ -1,10 +1,9 @@
-/* An agent that is killed loses no claim that it has granted.
+/* Guards against agents that lose their granted claims when they are killed.
  *
- * THE STORY
- *   All five agents of a service were killed within seconds and started again two seconds later.
- * Their claims were gone with them, so that nobody could say of any key whether it had run, and the
- * service refused every order with a key for 65 s, with all backend servers alive (soak seed 2006:
- * 174 whole answers in 77 s, 3104 with the file). */
+ *   All five agents of a service were killed within seconds and restarted two seconds later without
+ *   their claims.  Nobody could tell of any key whether it had run, so the service refused every
+ *   keyed order for 65 s, with all backend servers alive (soak seed 2006: 174 complete answers in
+ *   77 s; 3104 with the claim file). */
 #include "agent/lc-claim-file.h"
 #include "tests/fakes/lc-fake-disk.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -54,7 +53,7 @@
                         .expires_us = 300 * LC_US_PER_S };
 }
 
-/* What a process writes in its life: it resumes a state, grants claims and releases the first. */
+/* One process: it has a state, grants claims, and releases the first. */
 static void
 live (LcFakeDisk *fake)
 {
@@ -66,7 +65,7 @@
   lc_claim_file_init (&file, &desc);
   init_agent (&agent, EARLIER);
   ck_assert_int_eq (lc_claim_file_load (&file, &agent, 0, &error), 0);
-  /* It was whole, and had started once before. */
+  /* It was complete at an era, and had been restarted once. */
   agent.era.earlier[0] = (LcMemberRef){ SELF, 7 };
   agent.era.n_earlier = 1;
   agent.era.whole = KNOWN.whole;
@@ -87,9 +86,9 @@
 typedef enum
 {
   DAMAGE_NONE,
-  DAMAGE_TAIL,   /* the last entry is cut short */
-  DAMAGE_MIDDLE, /* bytes of an entry are others */
-  DAMAGE_HEAD,   /* nothing but half of the head */
+  DAMAGE_TAIL,   /* the last entry is truncated */
+  DAMAGE_MIDDLE, /* an entry is overwritten */
+  DAMAGE_HEAD,   /* only half of the head is left */
 } Damage;
 
 static const struct
@@ -103,10 +102,10 @@
 } STARTS[] = {
   { "after a kill", BOOT, "order-desk", DAMAGE_NONE, N_KEYS - 1, true },
   { "killed in the middle of a write", BOOT, "order-desk", DAMAGE_TAIL, N_KEYS, true },
-  { "after a start of the VM", OTHER_BOOT, "order-desk", DAMAGE_NONE, 0, false },
+  { "after a reboot of the VM", OTHER_BOOT, "order-desk", DAMAGE_NONE, 0, false },
   { "for another service", BOOT, "ticket-vault", DAMAGE_NONE, 0, false },
-  { "damaged", BOOT, "order-desk", DAMAGE_MIDDLE, 0, false },
-  { "nothing but half of its head", BOOT, "order-desk", DAMAGE_HEAD, 0, false },
+  { "overwritten in the middle", BOOT, "order-desk", DAMAGE_MIDDLE, 0, false },
+  { "truncated within the head", BOOT, "order-desk", DAMAGE_HEAD, 0, false },
 };
 
 static void
@@ -160,7 +159,7 @@
 }
 END_TEST
 
-/* A file that lacks a claim is worse than none: its reader would grant that claim again. */
+/* A file that lacks a claim must not load: its reader would grant that claim again. */
 START_TEST (test_full_disk)
 {
   LcFakeDisk *fake = lc_fake_disk_new (1);
@@ -179,7 +178,7 @@
   fake->bytes_left = 10;
   ck_assert_int_lt (lc_claim_file_claim (&file, &hold, &error), 0);
   ck_assert_int_eq (lc_claim_file_claim (&file, &hold, &error),
-                    0); /* not written, nor told again */
+                    0); /* not written, and the error is reported once */
   init_agent (&next, LATER + 1);
   {
     LcClaimFile other;
@@ -205,7 +204,7 @@
 }
 END_TEST
 
-/* Claims come and go for hours: the file stays about as large as what is held. */
+/* Guards against a file that grows with every claim ever made rather than with the present ones. */
 START_TEST (test_growth)
 {
   LcFakeDisk *fake = lc_fake_disk_new (1);
--- a/tests/request/test-claims-lost.c
+++ b/tests/request/test-claims-lost.c
@@ -1,12 +1,11 @@
-/* Keyed requests whose claims can't be known for a while are refused as soon as that is known.
+/* Guards against agents that hold requests whose claims are known to be unavailable.
  *
- * THE STORY
  *   Agents were killed two at a time within seconds, and with them whole sets of homes.  Whether a
- * key of theirs has run can't be known until every request that was claimed there is over, 65 s
- * after the loss.  The agents knew that from the first second, yet held each request up to its
- * deadline: in two plays of the soak's seed 2006, 16 orders each stayed open, "last answer: None",
- * because callers with a patience of 3 s an attempt left before the deadline of 10 s, twelve times.
- * A request that is known to be unservable is rejected at once, with the time to come back. */
+ *   key of theirs has run is unknown until every request claimed there is over, 65 s after the
+ *   loss.  The agents detected that at once, yet held each request until its deadline of 10 s.
+ *   Callers with a timeout of 3 s an attempt left before, twelve times: in two plays of soak seed
+ *   2006, 16 orders each stayed open ("last answer: None").  Such requests are refused at once,
+ *   with the time to retry. */
 #include "core/request/lc-request-agent.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -41,7 +40,7 @@
     }
 }
 
-/* The agents 2 to 5 are lost, 11 to 14 have come; agent 1 was there all the time. */
+/* Agents 2 to 5 are lost and replaced by 11 to 14; agent 1 stays. */
 static void
 lose_homes (LcRequestAgent *agent, LcView *view, bool is_lost)
 {
@@ -68,18 +67,18 @@
   int64_t deadline_ms;
   bool is_refused;
 } CASES[] = {
-  { "homes that live may still answer", false, 2000, 3000, false },
-  { "nobody has been asked yet", true, 10, 3000, false },
+  { "live homes may still answer", false, 2000, 3000, false },
+  { "nobody was read from yet", true, 10, 3000, false },
   { "nobody can answer", true, 2000, 3000, true },
   { "the longest deadline", true, 2000, 60000, true },
-  { "a deadline behind the end of the wait", true, 62000, 10000, false },
-  { "a deadline far behind the end of a long wait", true, 40000, 60000, true },
+  { "a deadline after the end of the wait", true, 62000, 10000, false },
+  { "a deadline after the end of a long wait", true, 40000, 60000, true },
   { "just longer than a request is held", true, 61999, 60000, true },
   { "shortly before the end", true, 62000, 2000, true },
   { "the wait is over", true, 65001, 2000, false },
 };
 
-/* Refusals of unclaimed keys among those that this agent is asked for. */
+/* Counts the refusals, which must all be of unclaimed keys. */
 static uint32_t
 count_refused (LcRequestAgent *agent, int64_t now_us, int64_t lost_for_us)
 {
@@ -92,7 +91,7 @@
         {
           ck_assert_int_eq (action.refuse.reason, LC_REFUSE_UNCLAIMED);
           ck_assert_int_eq (action.refuse.retry_after_us, lost_for_us);
-          ck_assert (!action.refuse.is_checked); /* nobody knows whether it ran: never "not run" */
+          ck_assert (!action.refuse.is_checked); /* it may have run: never "not run" */
           n++;
         }
       lc_agent_action_clear (&action);
@@ -100,7 +99,7 @@
   return n;
 }
 
-START_TEST (test_refused_as_soon_as_known)
+START_TEST (test_refused_once_claims_are_known_lost)
 {
   int64_t now_us = LOST_AT_S * LC_US_PER_S + CASES[_i].at_ms * LC_US_PER_MS;
   int64_t lost_for_us = (LOST_AT_S + LOST_AFTER_S) * LC_US_PER_S - now_us;
@@ -121,16 +120,16 @@
       (void)lc_request_agent_attempt (&agent, &attempt, now_us);
     }
   n_refused = count_refused (&agent, now_us, lost_for_us);
-  /* This agent is the first home of about a fifth of the keys, and knows those of its own before.
-   */
+  /* This agent is the first home of about a fifth of the keys; it holds the claims of those
+   * that it homed before. */
   ck_assert_msg ((n_refused > 0) == CASES[_i].is_refused, "%s: %u", CASES[_i].what, n_refused);
   lc_request_agent_finish (&agent);
   lc_view_finish (&view);
 }
 END_TEST
 
-/* The answer of another home, which knows what this agent can't. */
-START_TEST (test_another_home_says_so)
+/* Another home reports for how long it lacks the claims, which this agent can't know. */
+START_TEST (test_refused_when_a_home_reports_lost_claims)
 {
   static const struct
   {
@@ -138,9 +137,9 @@
     int64_t lost_for_ms;
     bool is_refused;
   } ANSWERS[] = {
-    { "it has not read the claims yet", 0, false },
-    { "in time for the deadline", 2000, false },
-    { "long after it", 60000, true },
+    { "it is still reading the claims", 0, false },
+    { "available before the deadline", 2000, false },
+    { "available long after the deadline", 60000, true },
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (ANSWERS); i++)
@@ -178,20 +177,20 @@
 }
 END_TEST
 
-/* Members of the set before that live and wait for lost ones themselves: seed 2006 again, by a line
- * a second: "whole 0, target 7 of 8, sources 0, step 16220 ms, may answer 1, alive 2 3 6 7", each
- * of them a member of the set before. */
-START_TEST (test_those_who_live_wait_themselves)
+/* Guards against waiting for live members of the previous set that wait for lost ones themselves,
+ * as in soak seed 2006: "whole 0, target 7 of 8, sources 0, step 16220 ms, may answer 1, alive 2 3
+ * 6 7", all four of them members of the previous set. */
+START_TEST (test_live_members_that_wait_are_not_waited_for)
 {
   static const struct
   {
     const char *what;
-    int64_t lost_for_s[4]; /* of members 2 to 5, as they say; -1: it has not answered */
+    int64_t lost_for_s[4]; /* reported by members 2 to 5; -1: not answered */
     int64_t stalled_for_s;
   } MEMBERS[] = {
     { "all wait", { 40, 30, 50, 60 }, 30 },
-    { "one may go on soon", { 40, 30, 0, 60 }, 0 },
-    { "one has said nothing", { 40, 30, -1, 60 }, 0 },
+    { "one may continue soon", { 40, 30, 0, 60 }, 0 },
+    { "one has not answered", { 40, 30, -1, 60 }, 0 },
   };
 
   for (size_t i = 0; i < G_N_ELEMENTS (MEMBERS); i++)
@@ -201,13 +200,13 @@
       LcView view;
 
       lose_homes (&agent, &view, false);
-      show (&view, 1, 5, false); /* the first members are seen again */
+      show (&view, 1, 5, false); /* the first members return */
       lc_request_agent_view (&agent, lc_view_service (&view, 1), SELF, LOST_AT_S * LC_US_PER_S);
       for (LcEndpointId k = 0; k < 4; k++)
         {
           LcClaimSource source = { .member = { 2 + k, 1002 + k } };
 
-          source.asked = lc_claim_era_target (&agent.era);
+          source.target_era = lc_claim_era_target (&agent.era);
           source.lost_for_us = MEMBERS[i].lost_for_s[k] * LC_US_PER_S;
           if (source.lost_for_us >= 0)
             lc_request_agent_read_done (&agent, &source, now_us);
@@ -227,9 +226,10 @@
   Suite *suite = suite_create ("claims-lost");
   TCase *tcase = tcase_create ("refusals");
 
-  tcase_add_loop_test (tcase, test_refused_as_soon_as_known, 0, (int)G_N_ELEMENTS (CASES));
-  tcase_add_test (tcase, test_another_home_says_so);
-  tcase_add_test (tcase, test_those_who_live_wait_themselves);
+  tcase_add_loop_test (tcase, test_refused_once_claims_are_known_lost, 0,
+                       (int)G_N_ELEMENTS (CASES));
+  tcase_add_test (tcase, test_refused_when_a_home_reports_lost_claims);
+  tcase_add_test (tcase, test_live_members_that_wait_are_not_waited_for);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
--- a/tests/request/test-request.c
+++ b/tests/request/test-request.c
@@ -1,5 +1,5 @@
-/* The request plane's decisions, as tables: outcomes, steps of a request, admission, choice,
- * limits, filters, homes and claims. */
+/* Unit tests of the request plane's state machines: outcomes, attempts, admission, endpoint
+ * picking, filters and claims. */
 #include "core/request/lc-admission.h"
 #include "core/request/lc-attempt.h"
 #include "core/request/lc-claim-era.h"
@@ -22,7 +22,7 @@
 static const LcMemberRef A = { 1, 101 };
 static const LcMemberRef B = { 2, 102 };
 
-/* === what may be said ======================================================================= */
+/* === outcomes =============================================================================== */
 
 START_TEST (test_outcome_of_two_attempts)
 {
@@ -81,7 +81,7 @@
 }
 END_TEST
 
-START_TEST (test_late_and_crossed_messages_change_nothing)
+START_TEST (test_late_and_misdirected_messages_are_ignored)
 {
   LcAttempt attempt;
   LcRefusal refusal = { .reason = LC_REFUSE_FULL };
@@ -101,7 +101,7 @@
 }
 END_TEST
 
-START_TEST (test_held_key_leads_to_its_owner)
+START_TEST (test_refusal_of_held_key_leads_to_its_owner)
 {
   LcAttempt attempt;
   LcRefusal held = { .reason = LC_REFUSE_HELD, .owner = B };
@@ -118,7 +118,7 @@
 }
 END_TEST
 
-START_TEST (test_answers_to_callers)
+START_TEST (test_error_responses_to_callers)
 {
   static const struct
   {
@@ -209,7 +209,7 @@
   s->endpoints[s->n_endpoints++] = e;
 }
 
-START_TEST (test_pick_prefers_near_and_free_and_keeps_a_floor)
+START_TEST (test_pick_prefers_near_and_free_endpoints_and_never_avoids_all)
 {
   LcService s = { 0 };
   LcPick pick;
@@ -229,7 +229,7 @@
   ck_assert_uint_eq (lc_pick_choose (&pick, 1, NULL, 0, 1)->ref.id, 1); /* 2 is ejected */
   for (int i = 0; i < 5; i++)
     (void)lc_outlier_failure (&pick.targets[0].outlier, &pick.desc.outlier, 1);
-  ck_assert_ptr_nonnull (lc_pick_choose (&pick, 1, NULL, 0, 1)); /* never all of them */
+  ck_assert_ptr_nonnull (lc_pick_choose (&pick, 1, NULL, 0, 1)); /* never avoids all of them */
   pick.targets[0].is_reachable = false;
   pick.targets[1].is_draining = true;
   ck_assert_ptr_null (lc_pick_choose (&pick, 1, NULL, 0, 1));
@@ -238,7 +238,7 @@
 }
 END_TEST
 
-START_TEST (test_pick_passes_what_is_evacuated_over)
+START_TEST (test_pick_skips_evacuated_data_centres)
 {
   LcService s = { 0 };
   LcView view;
@@ -275,9 +275,8 @@
 }
 END_TEST
 
-/* Requests by the time of an evacuation: one runs, one waits, one comes later, one after its end.
- */
-START_TEST (test_evacuated_agent_refuses_what_does_not_run)
+/* Four requests: running and queued before an evacuation, received during it and after it. */
+START_TEST (test_evacuated_agent_refuses_queued_and_new_requests)
 {
   LcRequestAgentDesc desc = { .self = { 1, 101 }, .admission = { .slots = 1 } };
   LcAgentAttempt attempt = { .ask = { .link_id = 1 }, .instance = 101, .deadline_us = LC_US_PER_S };
@@ -307,16 +306,16 @@
   for (int i = 1; i <= 2; i++)
     {
       ck_assert_int_eq (kinds[i], LC_AGENT_REFUSE);
-      ck_assert_int_eq (reasons[i], LC_REFUSE_DRAINING); /* "not run": it goes elsewhere */
+      ck_assert_int_eq (reasons[i],
+                        LC_REFUSE_DRAINING); /* "not run": retried elsewhere */
     }
-  ck_assert_int_eq (kinds[3], 0); /* waits for the slot */
+  ck_assert_int_eq (kinds[3], 0); /* queued for the slot */
   lc_request_agent_finish (&agent);
 }
 END_TEST
 
-/* A request waits for a link that is being made rather than queue behind a run, and not for long.
- */
-START_TEST (test_links_being_made_are_waited_for)
+/* A request waits up to 100 ms for a connecting link rather than queue at a full endpoint. */
+START_TEST (test_request_waits_for_connecting_link)
 {
   static const struct
   {
@@ -351,7 +350,7 @@
         lc_pick_begin (&pick.targets[0], 1);
       lc_pick_set_reachable (&pick.targets[1], cases[i].is_connecting);
       lc_pick_connect (&pick.targets[1], 1);
-      lc_pick_connect (&pick.targets[1], 50 * LC_US_PER_MS); /* does not begin again */
+      lc_pick_connect (&pick.targets[1], 50 * LC_US_PER_MS); /* does not restart the time */
       if (cases[i].is_lost)
         lc_pick_set_reachable (&pick.targets[1], false);
       pick.targets[1].is_draining = cases[i].is_draining;
@@ -390,7 +389,7 @@
   ck_assert_int_eq (lc_deadline_us (0, 500, 9000), 500 * LC_US_PER_MS);
   ck_assert_int_eq (lc_deadline_us (0, 999999, 0), 60 * LC_US_PER_S);
   ck_assert_int_eq (lc_deadline_left_us (100, 100), 0);
-  /* A caller that waits 3 s got its answer at 3.00 s, when it had left (soak seed 6102). */
+  /* A caller with a timeout of 3 s was answered at 3.00 s, after it had left (soak seed 6102). */
   ck_assert_int_eq (lc_deadline_answer_us (7, 0, 3000), 7 + 2950 * LC_US_PER_MS);
   ck_assert_int_eq (lc_deadline_answer_us (0, 0, 100), 90 * LC_US_PER_MS);
   ck_assert_int_eq (lc_deadline_answer_us (0, 500, 9000), 500 * LC_US_PER_MS);
@@ -502,7 +501,7 @@
   ck_assert_int_eq (lc_claim_store_claim (&store, KEY, A, 5, 1000, 0, &hold), LC_CLAIM_GRANTED);
   ck_assert_int_eq (lc_claim_store_claim (&store, KEY, B, 9, 1000, 1, &hold), LC_CLAIM_HELD);
   ck_assert (lc_member_ref_equal (hold.owner, A));
-  ck_assert (!lc_claim_store_release (&store, KEY, A.instance, 4)); /* a late one */
+  ck_assert (!lc_claim_store_release (&store, KEY, A.instance, 4)); /* an outdated release */
   ck_assert (!lc_claim_store_release (&store, KEY, B.instance, 9));
   ck_assert_int_eq (lc_claim_store_claim (&store, (LcRequestKey){ 1, 1 }, A, 6, 1000, 1, &hold),
                     LC_CLAIM_FULL);
@@ -520,7 +519,7 @@
 }
 END_TEST
 
-START_TEST (test_claim_asks_the_first_home_alone)
+START_TEST (test_claim_goes_to_the_first_home_alone)
 {
   LcMemberRef members[5];
   LcMemberRef homes[LC_CLAIM_HOMES];
@@ -563,7 +562,7 @@
 }
 END_TEST
 
-/* === lost sets of homes ===================================================================== */
+/* === claims of lost sets of homes =========================================================== */
 
 enum
 {
@@ -572,14 +571,14 @@
   LOST_AFTER_S = 65,
 };
 
-/* Sets of homes that were lost one after the other, a few seconds apart; endpoint 1, which asks, is
- * a member of all.  Their claims are unknown until every request that was claimed there is over. */
+/* Sets of homes that are lost one after another, seconds apart; endpoint 1, the reader, is a member
+ * of all.  Their claims are unknown until every request that was claimed there is over. */
 typedef struct
 {
   const char *what;
   LcEndpointId members[N_ERAS][N_HOMES];
-  int64_t ended_s[N_ERAS]; /* when the next set came, and all but endpoint 1 were lost */
-  int64_t known_s;         /* when everything is known */
+  int64_t ended_s[N_ERAS]; /* when the next set replaced it */
+  int64_t known_s;         /* when endpoint 1 is complete at the last era */
 } LostCase;
 
 static const LostCase LOST_CASES[] = {
@@ -588,7 +587,7 @@
     { { 1, 2, 3, 4, 5 }, { 1, 6, 7, 8, 9 }, { 1, 10, 11, 12, 13 }, { 1, 14, 15, 16, 17 } },
     { 10, 15, 20 },
     20 + LOST_AFTER_S },
-  { "of each set one other member lives on and answers, too few to know everything",
+  { "one other member of each set survives and answers, too few to cover every key",
     { { 1, 2, 3, 4, 5 }, { 1, 2, 7, 8, 9 }, { 1, 2, 11, 12, 13 }, { 1, 2, 15, 16, 17 } },
     { 10, 15, 20 },
     20 + LOST_AFTER_S },
@@ -607,16 +606,16 @@
   return false;
 }
 
-/* The other member that lives on has gone as far as this one. */
+/* Answers as a surviving member that is complete at the same era as this one. */
 static void
 answer_step (LcClaimEra *era, LcEndpointId id, int64_t now_us)
 {
   LcClaimSource source = { .member = { id, 1000 + id }, .era = lc_claim_era_now (era) };
 
-  source.asked = lc_claim_era_target (era);
+  source.target_era = lc_claim_era_target (era);
   source.whole = era->whole;
   source.whole_from = era->whole_from;
-  if (source.asked != 0)
+  if (source.target_era != 0)
     lc_claim_era_source (era, &source, now_us);
 }
 
@@ -699,21 +698,21 @@
   TCase *tcase = tcase_create ("core");
 
   tcase_add_test (tcase, test_outcome_of_two_attempts);
-  tcase_add_test (tcase, test_late_and_crossed_messages_change_nothing);
-  tcase_add_test (tcase, test_held_key_leads_to_its_owner);
-  tcase_add_test (tcase, test_answers_to_callers);
+  tcase_add_test (tcase, test_late_and_misdirected_messages_are_ignored);
+  tcase_add_test (tcase, test_refusal_of_held_key_leads_to_its_owner);
+  tcase_add_test (tcase, test_error_responses_to_callers);
   tcase_add_test (tcase, test_admission_starts_the_earliest_deadline);
   tcase_add_test (tcase, test_admission_limit_falls_and_grows);
-  tcase_add_test (tcase, test_pick_prefers_near_and_free_and_keeps_a_floor);
-  tcase_add_test (tcase, test_pick_passes_what_is_evacuated_over);
-  tcase_add_test (tcase, test_evacuated_agent_refuses_what_does_not_run);
-  tcase_add_test (tcase, test_links_being_made_are_waited_for);
+  tcase_add_test (tcase, test_pick_prefers_near_and_free_endpoints_and_never_avoids_all);
+  tcase_add_test (tcase, test_pick_skips_evacuated_data_centres);
+  tcase_add_test (tcase, test_evacuated_agent_refuses_queued_and_new_requests);
+  tcase_add_test (tcase, test_request_waits_for_connecting_link);
   tcase_add_test (tcase, test_budget_hedge_and_deadline);
   tcase_add_test (tcase, test_filters);
   tcase_add_test (tcase, test_claim_store);
   tcase_add_loop_test (tcase, test_lost_sets_are_waited_for_together, 0,
                        (int)(sizeof LOST_CASES / sizeof LOST_CASES[0]));
-  tcase_add_test (tcase, test_claim_asks_the_first_home_alone);
+  tcase_add_test (tcase, test_claim_goes_to_the_first_home_alone);
   tcase_add_test (tcase, test_ids);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
--- a/tests/request/test_failures.py
+++ b/tests/request/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of real processes: what a caller is told, and how often its order really ran."""
+"""Failure injection on real processes: the reported outcome, and how often the order really ran."""
 import random
 import signal
 import socket
@@ -16,7 +16,7 @@
 
 
 class Hold:
-    """A backend server's run that lasts until the test lets it go."""
+    """A run at a backend server that lasts until the test releases it."""
 
     def __init__(self):
         self.released = threading.Event()
@@ -80,7 +80,7 @@
         return [b.runs.get(key, 0) for b in self.cluster.backends].index(1)
 
     def assert_logged(self, headers):
-        """Soaks ended with orders that no line of any log named."""
+        """Guards against failed orders that no log line names, as soaks had."""
         lines = [line for b in self.cluster.balancers for line in b.events("request.failed")
                  if headers["lychee-request-id"] in (line.get("key"), line.get("request"))]
         self.assertIn((headers["lychee-reason"], headers["lychee-outcome"]),
@@ -422,7 +422,7 @@
         hold.released.set()
         first["thread"].join()
         self.assertEqual(first["answer"][0], 200)
-        # The flow plane waits for the set before to settle; control would commit this.
+        # The flow plane waits for the previous set to settle; control would commit this.
         c.publish("settled %d" % c.revision)
         self.assertEqual(c.agents[owner].popen.wait(20), 0)
 
