--- a/bench/lc-lychee-act.c
+++ b/bench/lc-lychee-act.c
@@ -50,7 +50,7 @@
 lc_lychee__send_back (LcLychee *l, uint32_t p, const LcAgentAction *action)
 {
   bool is_answer = action->kind == LC_AGENT_ANSWER;
-  const LcAsk *ask = is_answer ? &action->answer.ask : &action->refuse.ask;
+  const LcAsk *ask = is_answer ? &action->answer.attempt_id : &action->refuse.attempt_id;
   uint32_t balancer = lc_lychee__link_balancer (ask->link_id);
   bool is_odd = is_answer && (l->sim->desc.what.fault == LC_SIM_LATE_CROSSED ||
                               l->sim->desc.what.fault == LC_SIM_RESEND);
@@ -78,7 +78,7 @@
           continue;
         }
       event->back.refusal =
-          (LcRefusal){ action->refuse.reason, action->refuse.is_checked, action->refuse.owner };
+          (LcRefusal){ action->refuse.reason, action->refuse.is_claimed, action->refuse.owner };
       event->back.retry_after_us = action->refuse.retry_after_us;
     }
 }
@@ -201,9 +201,9 @@
     return;
   event->attempt.order = copy->order;
   event->attempt.left_us = action->send.left_us;
-  event->attempt.attempt.ask.link_id = lc_lychee__link (l, p, agent);
-  event->attempt.attempt.ask.attempt = action->send.number;
-  event->attempt.attempt.ask.id = copy->id;
+  event->attempt.attempt.attempt_id.link_id = lc_lychee__link (l, p, agent);
+  event->attempt.attempt.attempt_id.attempt = action->send.number;
+  event->attempt.attempt.attempt_id.id = copy->id;
   event->attempt.attempt.instance = action->send.ref.instance;
   event->attempt.attempt.key = copy->key;
   event->attempt.attempt.is_caller_key = copy->is_caller_key;
--- a/fuzz/fuzz-claims.c
+++ b/fuzz/fuzz-claims.c
@@ -58,7 +58,7 @@
   if (lc_claim_file_load (&file, &agent, 0, &error) != (int)lc_claim_store_size (&agent.store))
     abort ();
   lc_claim_era_state (&agent.era, &state);
-  if (state.n_selves == 0 || state.n_selves > LC_CLAIM_ERA_MAX_SELVES)
+  if (state.n_incarnations == 0 || state.n_incarnations > LC_CLAIM_ERA_MAX_SELVES)
     abort ();
   lc_claim_file_finish (&file);
   lc_request_agent_finish (&agent);
--- a/src/agent/lc-agent-attempt.c
+++ b/src/agent/lc-agent-attempt.c
@@ -92,11 +92,11 @@
   const Lc__Request__AttemptHead *head = partial->head;
   int64_t left_us = (int64_t)MIN (head->left_us, (uint64_t)(60 * LC_US_PER_S));
 
-  return (LcAgentAttempt){ .ask = partial->ask,
+  return (LcAgentAttempt){ .attempt_id = partial->ask,
                            .instance = head->instance,
                            .key = { head->key_hi, head->key_lo },
                            .is_caller_key = head->caller_key,
-                           .is_check = head->check,
+                           .is_query = head->check,
                            .digest = head->digest,
                            .deadline_us = now_us + left_us };
 }
--- a/src/agent/lc-agent-claims.c
+++ b/src/agent/lc-agent-claims.c
@@ -50,7 +50,7 @@
   if (r < 0)
     return r;
   LC_INFO ("request.claims-resumed", "claims", LC_U64 (r), "earlier_members",
-           LC_U64 (plane->core.era.n_earlier), "whole", LC_U64 (plane->core.era.whole));
+           LC_U64 (plane->core.era.n_earlier), "whole", LC_U64 (plane->core.era.complete));
   return 0;
 }
 
@@ -241,8 +241,8 @@
   reply.message.member = &reply.member;
   reply.message.era = read->era;
   reply.message.member_era = sources[0].era;
-  reply.message.member_whole = sources[0].whole;
-  reply.message.member_whole_from = sources[0].whole_from;
+  reply.message.member_whole = sources[0].complete;
+  reply.message.member_whole_from = sources[0].complete_from;
   reply.message.lost_for_us = (uint64_t)sources[0].lost_for_us;
   reply.message.former = formers;
   for (uint32_t i = 1; i < n; i++)
--- a/src/agent/lc-agent-request.c
+++ b/src/agent/lc-agent-request.c
@@ -67,9 +67,9 @@
                               int64_t now_us)
 {
   LcRequestLogLine line = { .kind = LC_REQUEST_LOG_JOINED,
-                            .id = attempt->ask.id,
+                            .id = attempt->attempt_id.id,
                             .key = attempt->key,
-                            .attempt = attempt->ask.attempt };
+                            .attempt = attempt->attempt_id.attempt };
 
   if (plane->core.stats.duplicates_total != duplicates_before)
     line.why = "seen-before";
@@ -80,12 +80,12 @@
 lc_agent_request__log_held_up (LcAgentRequest *plane, const LcAgentAction *action, int64_t now_us)
 {
   LcRequestLogLine line = { .kind = LC_REQUEST_LOG_HELD_UP,
-                            .id = action->held_up.ask.id,
-                            .key = action->held_up.key,
-                            .attempt = action->held_up.ask.attempt,
-                            .why = lc_claim_result_name (action->held_up.why),
-                            .member = action->held_up.home,
-                            .left_us = action->held_up.deadline_us - now_us };
+                            .id = action->claim_delayed.attempt_id.id,
+                            .key = action->claim_delayed.key,
+                            .attempt = action->claim_delayed.attempt_id.attempt,
+                            .why = lc_claim_result_name (action->claim_delayed.result),
+                            .member = action->claim_delayed.home,
+                            .left_us = action->claim_delayed.deadline_us - now_us };
 
   lc_request_log (&plane->log, &line, now_us);
 }
@@ -173,7 +173,7 @@
       lc_agent_request__log_held_up (plane, action, now_us);
       break;
     case LC_AGENT_KEEP:
-      lc_agent_request__keep_claim (plane, &action->keep);
+      lc_agent_request__keep_claim (plane, &action->persist);
       break;
     }
 }
@@ -204,7 +204,7 @@
   LcAgentAction action = { .kind = LC_AGENT_REFUSE };
 
   lc_agent_request__malformed (plane, LC_FRAME_ATTEMPT_HEAD);
-  action.refuse.ask = *ask;
+  action.refuse.attempt_id = *ask;
   action.refuse.reason = LC_REFUSE_MALFORMED;
   lc_agent_request__send_refuse (plane, &action);
 }
--- a/src/agent/lc-agent-send.c
+++ b/src/agent/lc-agent-send.c
@@ -78,8 +78,8 @@
 {
   Lc__Request__Refuse message = LC__REQUEST__REFUSE__INIT;
   LcRequestLogLine line = { .kind = LC_REQUEST_LOG_REJECTED,
-                            .id = action->refuse.ask.id,
-                            .attempt = action->refuse.ask.attempt,
+                            .id = action->refuse.attempt_id.id,
+                            .attempt = action->refuse.attempt_id.attempt,
                             .why = lc_refuse_name (action->refuse.reason),
                             .member = action->refuse.owner,
                             .retry_after_us = action->refuse.retry_after_us };
@@ -87,17 +87,17 @@
 
   lc_request_log (&plane->log, &line, lc_clock_now_us ());
   lc_agent_request__fill_load (plane, &load);
-  message.id_hi = action->refuse.ask.id.hi;
-  message.id_lo = action->refuse.ask.id.lo;
-  message.attempt = action->refuse.ask.attempt;
+  message.id_hi = action->refuse.attempt_id.id.hi;
+  message.id_lo = action->refuse.attempt_id.id.lo;
+  message.attempt = action->refuse.attempt_id.attempt;
   message.reason = action->refuse.reason;
-  message.checked = action->refuse.is_checked;
+  message.checked = action->refuse.is_claimed;
   message.retry_after_us = (uint64_t)MAX (action->refuse.retry_after_us, 0);
   message.owner_id = action->refuse.owner.id;
   message.owner_instance = action->refuse.owner.instance;
   message.load = &load;
-  (void)lc_link_send (lc_agent_request__link (plane, action->refuse.ask.link_id), LC_FRAME_REFUSE,
-                      &message.base);
+  (void)lc_link_send (lc_agent_request__link (plane, action->refuse.attempt_id.link_id),
+                      LC_FRAME_REFUSE, &message.base);
 }
 
 static int
@@ -130,9 +130,9 @@
   if (head == NULL)
     return LC_ERR_CORRUPT;
   lc_agent_request__fill_load (plane, &load);
-  head->id_hi = action->answer.ask.id.hi;
-  head->id_lo = action->answer.ask.id.lo;
-  head->attempt = action->answer.ask.attempt;
+  head->id_hi = action->answer.attempt_id.id.hi;
+  head->id_lo = action->answer.attempt_id.id.lo;
+  head->attempt = action->answer.attempt_id.attempt;
   head->status = answer->status;
   head->body_length = g_bytes_get_size (answer->body);
   head->body_checksum =
@@ -149,7 +149,7 @@
 void
 lc_agent_request__send_answer (LcAgentRequest *plane, const LcAgentAction *action)
 {
-  const LcAsk *ask = &action->answer.ask;
+  const LcAsk *ask = &action->answer.attempt_id;
   LcLink *link = lc_agent_request__link (plane, ask->link_id);
   size_t len = g_bytes_get_size (action->answer.answer->body);
   int r;
--- a/src/agent/lc-claim-file.c
+++ b/src/agent/lc-claim-file.c
@@ -62,17 +62,17 @@
   Lc__Request__Member members[LC_CLAIM_ERA_MAX_SELVES];
   Lc__Request__Member *selves[LC_CLAIM_ERA_MAX_SELVES];
 
-  for (uint32_t i = 0; i < known->n_selves; i++)
+  for (uint32_t i = 0; i < known->n_incarnations; i++)
     {
       lc__request__member__init (&members[i]);
-      members[i].id = known->selves[i].id;
-      members[i].instance = known->selves[i].instance;
+      members[i].id = known->incarnations[i].id;
+      members[i].instance = known->incarnations[i].instance;
       selves[i] = &members[i];
     }
-  state.n_selves = known->n_selves;
+  state.n_selves = known->n_incarnations;
   state.selves = selves;
-  state.whole = known->whole;
-  state.whole_from = known->whole_from;
+  state.whole = known->complete;
+  state.whole_from = known->complete_from;
   entry.state = &state;
   lc_claim_file__add (bytes, LC_FRAME_CLAIM_FILE_ENTRY, &entry.base);
 }
@@ -101,11 +101,11 @@
 lc_claim_file__take_state (LcClaimEraState *state, const Lc__Request__ClaimFileState *from)
 {
   memset (state, 0, sizeof *state);
-  state->n_selves = (uint32_t)MIN (from->n_selves, (size_t)LC_CLAIM_ERA_MAX_SELVES);
-  for (uint32_t i = 0; i < state->n_selves; i++)
-    state->selves[i] = (LcMemberRef){ from->selves[i]->id, from->selves[i]->instance };
-  state->whole = from->whole;
-  state->whole_from = from->whole_from;
+  state->n_incarnations = (uint32_t)MIN (from->n_selves, (size_t)LC_CLAIM_ERA_MAX_SELVES);
+  for (uint32_t i = 0; i < state->n_incarnations; i++)
+    state->incarnations[i] = (LcMemberRef){ from->selves[i]->id, from->selves[i]->instance };
+  state->complete = from->whole;
+  state->complete_from = from->whole_from;
 }
 
 static bool
--- a/src/balancer/lc-balancer-agents.c
+++ b/src/balancer/lc-balancer-agents.c
@@ -142,7 +142,7 @@
   lc_balancer_request__take_load (plane, refuse->load);
   ref = (LcAttemptRef){ { refuse->id_hi, refuse->id_lo }, refuse->attempt, peer->link_id };
   refusal = (LcRefusal){ .reason = (LcRefuseReason)refuse->reason,
-                         .is_checked = refuse->checked,
+                         .is_claimed = refuse->checked,
                          .owner = { refuse->owner_id, refuse->owner_instance } };
   lc_request_log (&plane->log,
                   &(LcRequestLogLine){ .kind = LC_REQUEST_LOG_REFUSED,
--- a/src/balancer/lc-caller.c
+++ b/src/balancer/lc-caller.c
@@ -106,10 +106,10 @@
   head->key_hi = request->key.hi;
   head->key_lo = request->key.lo;
   head->caller_key = request->is_caller_key;
-  head->check = request->is_ask;
+  head->check = request->is_query;
   head->digest = request->digest;
   head->left_us = (uint64_t)send->send.left_us;
-  if (request->is_ask)
+  if (request->is_query)
     return;
   head->method = lc_caller__data (request->method.base, request->method.len);
   head->path = lc_caller__data (request->path.base, request->path.len);
@@ -150,7 +150,7 @@
                         const LcBalancerAction *send)
 {
   Lc__Request__AttemptHead head = LC__REQUEST__ATTEMPT_HEAD__INIT;
-  size_t len = request->is_ask ? 0 : request->body.len;
+  size_t len = request->is_query ? 0 : request->body.len;
   int r;
 
   lc_caller__fill_head (&head, request, send);
@@ -262,7 +262,7 @@
                 LcOutcome outcome,
                 int64_t retry_after_us)
 {
-  LcCallerAnswer answer = lc_filter_answer (reason, outcome, retry_after_us, request->is_ask);
+  LcCallerAnswer answer = lc_filter_answer (reason, outcome, retry_after_us, request->is_query);
 
   lc_caller__add (req, "lychee-outcome", lc_outcome_name (answer.outcome));
   lc_caller__add (req, "lychee-reason", lc_refuse_name (reason));
@@ -276,9 +276,10 @@
 {
   /* A limit says nothing about earlier copies under a key that the caller chose. */
   if (v->reason != LC_REFUSE_NONE)
-    lc_caller__say (
-        req, request, v->reason,
-        request->key_text.len > 0 || request->is_ask ? LC_OUTCOME_UNKNOWN : LC_OUTCOME_NOT_RUN, 0);
+    lc_caller__say (req, request, v->reason,
+                    request->key_text.len > 0 || request->is_query ? LC_OUTCOME_UNKNOWN
+                                                                   : LC_OUTCOME_NOT_RUN,
+                    0);
   else
     lc_caller__send_json (req, v->status, v->status == 404 ? "not-found" : "invalid", v->message,
                           v->remedy);
--- a/src/core/filter/lc-filter-answer.c
+++ b/src/core/filter/lc-filter-answer.c
@@ -3,7 +3,7 @@
 #define LC_ANSWER_RETRY_AFTER_US LC_US_PER_S
 
 static uint16_t
-lc_filter_answer__status (LcRefuseReason reason, LcOutcome outcome, bool is_ask)
+lc_filter_answer__status (LcRefuseReason reason, LcOutcome outcome, bool is_query)
 {
   switch (reason)
     {
@@ -20,17 +20,17 @@
     }
   if (outcome == LC_OUTCOME_UNKNOWN)
     return 502;
-  return is_ask ? 404 : 503;
+  return is_query ? 404 : 503;
 }
 
 static const char *
-lc_filter_answer__remedy (LcRefuseReason reason, LcOutcome outcome, bool is_ask)
+lc_filter_answer__remedy (LcRefuseReason reason, LcOutcome outcome, bool is_query)
 {
   if (reason == LC_REFUSE_KEY_REUSED)
     return "use a new Idempotency-Key for each different request";
   if (outcome == LC_OUTCOME_UNKNOWN)
     return "ask again at the Lychee-Ask path, or resend with the same Idempotency-Key";
-  if (is_ask)
+  if (is_query)
     return "the request may be sent again";
   return "send the request again after Retry-After";
 }
@@ -46,15 +46,15 @@
 }
 
 LcCallerAnswer
-lc_filter_answer (LcRefuseReason reason, LcOutcome outcome, int64_t retry_after_us, bool is_ask)
+lc_filter_answer (LcRefuseReason reason, LcOutcome outcome, int64_t retry_after_us, bool is_query)
 {
   LcCallerAnswer answer = { .outcome = outcome };
 
   if (reason == LC_REFUSE_KEY_REUSED)
     answer.outcome = LC_OUTCOME_NOT_RUN;
-  answer.status = lc_filter_answer__status (reason, outcome, is_ask);
+  answer.status = lc_filter_answer__status (reason, outcome, is_query);
   answer.message = lc_filter_answer__message (reason, outcome);
-  answer.remedy = lc_filter_answer__remedy (reason, outcome, is_ask);
+  answer.remedy = lc_filter_answer__remedy (reason, outcome, is_query);
   if (reason != LC_REFUSE_KEY_REUSED)
     answer.retry_after_us = retry_after_us > 0 ? retry_after_us : LC_ANSWER_RETRY_AFTER_US;
   return answer;
--- a/src/core/filter/lc-filter-claim.c
+++ b/src/core/filter/lc-filter-claim.c
@@ -16,7 +16,7 @@
 {
   LcServiceId service_id = request->service->id;
 
-  if (request->is_ask)
+  if (request->is_query)
     {
       request->is_caller_key = true;
       return (LcFilterVerdict){ .kind = LC_FILTER_PASS };
--- a/src/core/filter/lc-filter-identify.c
+++ b/src/core/filter/lc-filter-identify.c
@@ -48,8 +48,8 @@
   size_t prefix_len = strlen (LC_FILTER_ASK_PREFIX);
 
   request->id = request->random;
-  request->is_ask = request->path.len > prefix_len &&
-                    memcmp (request->path.base, LC_FILTER_ASK_PREFIX, prefix_len) == 0;
+  request->is_query = request->path.len > prefix_len &&
+                      memcmp (request->path.base, LC_FILTER_ASK_PREFIX, prefix_len) == 0;
   if (request->key_text.len > LC_FILTER_MAX_KEY || !lc_identify__is_printable (request->key_text))
     return lc_identify__bad ("the Idempotency-Key is not 1 to 255 printable ASCII characters",
                              "send a random UUID as the key of each order");
--- a/src/core/filter/lc-filter-route.c
+++ b/src/core/filter/lc-filter-route.c
@@ -47,7 +47,7 @@
 {
   const LcRoute *route;
 
-  if (request->is_ask)
+  if (request->is_query)
     return lc_route__ask (request, context->view);
   route = lc_view_route (context->view, request->host.base, request->host.len, request->path.base,
                          request->path.len);
--- a/src/core/filter/lc-filter.h
+++ b/src/core/filter/lc-filter.h
@@ -64,7 +64,7 @@
     LcRequestId id;
     LcRequestKey key; /* none for idempotent requests */
     bool is_caller_key;
-    bool is_ask; /* a status query: asks for the outcome of `key` */
+    bool is_query; /* a status query: asks for the outcome of `key` */
     uint32_t timeout_ms;
     const LcService *service;
     uint64_t digest;
--- a/src/core/request/lc-attempt.c
+++ b/src/core/request/lc-attempt.c
@@ -33,7 +33,7 @@
   for (uint32_t i = 0; i < attempt->n_attempts; i++)
     if (attempt->attempts[i].state != LC_ATTEMPT_NOT_RUN)
       return LC_OUTCOME_UNKNOWN;
-  if (attempt->desc.is_caller_key && !attempt->is_checked)
+  if (attempt->desc.is_caller_key && !attempt->is_claimed)
     return LC_OUTCOME_UNKNOWN;
   return LC_OUTCOME_NOT_RUN;
 }
@@ -61,7 +61,7 @@
 lc_attempt__held (LcAttempt *attempt, LcAttemptOne *one, LcMemberRef owner)
 {
   one->state = LC_ATTEMPT_NOT_RUN;
-  attempt->is_checked = false;
+  attempt->is_claimed = false;
   if (owner.instance == 0 || attempt->n_owner_steps >= LC_ATTEMPT_MAX_OWNER_STEPS)
     return lc_attempt__finish (attempt, LC_REFUSE_HELD);
   attempt->n_owner_steps++;
@@ -148,7 +148,7 @@
     return lc_attempt__unknown (attempt, refusal->reason);
   one->state = LC_ATTEMPT_NOT_RUN;
   /* Only the newest refusal counts: a copy may have run since an older one. */
-  attempt->is_checked = refusal->is_checked;
+  attempt->is_claimed = refusal->is_claimed;
   return lc_attempt__retry_or_wait (attempt, refusal->reason);
 }
 
--- a/src/core/request/lc-attempt.h
+++ b/src/core/request/lc-attempt.h
@@ -19,7 +19,7 @@
  *   - A keyed request may be retried after an unknown outcome, because the claim of its key
  *     prevents a second run.  So may an idempotent one.
  *   - For a key that the caller chose, "not run" also needs an agent that held the confirmed claim
- *     (refusal.is_checked), because another copy may have come through another balancer.
+ *     (refusal.is_claimed), because another copy may have come through another balancer.
  *
  * LIFETIME
  *   A plain value.
@@ -69,14 +69,14 @@
     LcAttemptOne attempts[LC_ATTEMPT_MAX]; /* attempt n is attempts[n - 1] */
     uint8_t n_attempts;
     uint8_t n_owner_steps;
-    bool is_checked; /* as in the newest refusal */
+    bool is_claimed; /* as in the newest refusal */
     bool is_finished;
   } LcAttempt;
 
   typedef struct
   {
     LcRefuseReason reason;
-    bool is_checked;   /* the agent held the confirmed claim of the key */
+    bool is_claimed;   /* the agent held the confirmed claim of the key */
     LcMemberRef owner; /* with LC_REFUSE_HELD */
   } LcRefusal;
 
--- a/src/core/request/lc-claim-era.c
+++ b/src/core/request/lc-claim-era.c
@@ -85,7 +85,7 @@
 static guint
 lc_claim_era__target (const LcClaimEra *era)
 {
-  if (era->whole == 0)
+  if (era->complete == 0)
     {
       for (guint i = 0; i < era->sets->len; i++)
         if (lc_claim_era__self_in (era, lc_claim_era__set (era, i)) != NULL)
@@ -93,7 +93,7 @@
       return era->sets->len;
     }
   for (guint i = 0; i < era->sets->len; i++)
-    if (lc_claim_era__set (era, i)->since == era->whole)
+    if (lc_claim_era__set (era, i)->since == era->complete)
       return i + 1;
   return era->sets->len;
 }
@@ -120,7 +120,7 @@
 static bool
 lc_claim_era__was_whole (const LcClaimEra *era, const LcClaimSet *former)
 {
-  return era->whole != 0 && era->whole == former->since &&
+  return era->complete != 0 && era->complete == former->since &&
          lc_claim_era__self_in (era, former) != NULL;
 }
 
@@ -162,9 +162,9 @@
 {
   LcRevision since = lc_claim_era__set (era, target)->since;
 
-  if (era->whole == 0)
-    era->whole_from = since;
-  era->whole = since;
+  if (era->complete == 0)
+    era->complete_from = since;
+  era->complete = since;
   lc_claim_era__clear_step (era, now_us);
 }
 
@@ -219,10 +219,10 @@
 void
 lc_claim_era_resume (LcClaimEra *era, const LcClaimEraState *state)
 {
-  era->n_earlier = MIN (state->n_selves, LC_CLAIM_ERA_MAX_SELVES - 1);
-  memcpy (era->earlier, state->selves, era->n_earlier * sizeof *era->earlier);
-  era->whole = state->whole;
-  era->whole_from = state->whole_from;
+  era->n_earlier = MIN (state->n_incarnations, LC_CLAIM_ERA_MAX_SELVES - 1);
+  memcpy (era->earlier, state->incarnations, era->n_earlier * sizeof *era->earlier);
+  era->complete = state->complete;
+  era->complete_from = state->complete_from;
 }
 
 void
@@ -230,20 +230,21 @@
 {
   memset (state, 0, sizeof *state);
   if (era->desc.self.id != 0)
-    state->selves[state->n_selves++] = era->desc.self;
+    state->incarnations[state->n_incarnations++] = era->desc.self;
   for (uint32_t i = 0; i < era->n_earlier; i++)
-    state->selves[state->n_selves++] = era->earlier[i];
-  state->whole = era->whole;
-  state->whole_from = era->whole_from;
+    state->incarnations[state->n_incarnations++] = era->earlier[i];
+  state->complete = era->complete;
+  state->complete_from = era->complete_from;
 }
 
 bool
 lc_claim_era_state_equal (const LcClaimEraState *a, const LcClaimEraState *b)
 {
-  if (a->n_selves != b->n_selves || a->whole != b->whole || a->whole_from != b->whole_from)
+  if (a->n_incarnations != b->n_incarnations || a->complete != b->complete ||
+      a->complete_from != b->complete_from)
     return false;
-  for (uint32_t i = 0; i < a->n_selves; i++)
-    if (!lc_member_ref_equal (a->selves[i], b->selves[i]))
+  for (uint32_t i = 0; i < a->n_incarnations; i++)
+    if (!lc_member_ref_equal (a->incarnations[i], b->incarnations[i]))
       return false;
   return true;
 }
@@ -293,19 +294,19 @@
     set->lost_us = now_us; /* lost before this agent first saw the set */
 }
 
-/* Drops state of eras that the view no longer has.  A view older than `whole`, as a process that
+/* Drops state of eras that the view no longer has.  A view older than `complete`, as a process that
  * has just started may get, drops nothing. */
 static void
 lc_claim_era__forget_old (LcClaimEra *era)
 {
   uint32_t n = 0;
 
-  if (era->whole > lc_claim_era_now (era))
+  if (era->complete > lc_claim_era_now (era))
     return;
-  if (lc_claim_era_find (era, era->whole) == NULL)
+  if (lc_claim_era_find (era, era->complete) == NULL)
     {
-      era->whole = 0;
-      era->whole_from = 0;
+      era->complete = 0;
+      era->complete_from = 0;
     }
   for (uint32_t i = 0; i < era->n_earlier; i++)
     {
@@ -314,7 +315,7 @@
       for (guint k = 0; k < era->sets->len; k++)
         is_remembered =
             is_remembered || lc_claim_era__has (lc_claim_era__set (era, k), era->earlier[i]);
-      if (is_remembered && era->whole != 0)
+      if (is_remembered && era->complete != 0)
         era->earlier[n++] = era->earlier[i];
     }
   era->n_earlier = n;
@@ -427,8 +428,8 @@
 static bool
 lc_claim_era__was_whole_at (const LcClaimSource *source, const LcClaimSet *set)
 {
-  return set != NULL && source->whole >= set->since && source->whole_from <= set->since &&
-         source->whole_from != 0 && lc_claim_era__has (set, source->member);
+  return set != NULL && source->complete >= set->since && source->complete_from <= set->since &&
+         source->complete_from != 0 && lc_claim_era__has (set, source->member);
 }
 
 /* Replaces what a live member reported of how long it waits for lost members. */
@@ -549,7 +550,7 @@
   if (present == NULL ||
       !lc_claim_is_home (key, present->members, present->n_members, era->desc.self))
     return false;
-  if (era->whole == present->since)
+  if (era->complete == present->since)
     return true;
   target = lc_claim_era__target (era);
   return target == era->sets->len - 1 && lc_claim_era__is_key_covered (era, target, key);
--- a/src/core/request/lc-claim-era.h
+++ b/src/core/request/lc-claim-era.h
@@ -7,7 +7,7 @@
  *   are recorded elsewhere; before it may grant any it reads them from members of the previous era.
  *
  * THE RULE
- *   An agent is `whole` (complete) at an era when it holds, for each key of which it is a home
+ *   An agent is `complete` at an era when it holds, for each key of which it is a home
  *   there, every claim that was granted by all homes under an earlier era.  It advances one era at
  *   a time.  For a key that it homes at era E it needs one source:
  *     - a home of that key in the set before E, possibly itself, that was complete there and has
@@ -84,10 +84,10 @@
   /* What a process must persist besides its claims to resume after a restart. */
   typedef struct
   {
-    LcMemberRef selves[LC_CLAIM_ERA_MAX_SELVES]; /* the present one first */
-    uint32_t n_selves;
-    LcRevision whole; /* as in LcClaimEra */
-    LcRevision whole_from;
+    LcMemberRef incarnations[LC_CLAIM_ERA_MAX_SELVES]; /* the present one first */
+    uint32_t n_incarnations;
+    LcRevision complete; /* as in LcClaimEra */
+    LcRevision complete_from;
   } LcClaimEraState;
 
   typedef struct
@@ -95,13 +95,13 @@
     LcClaimEraDesc desc;
     LcMemberRef earlier[LC_CLAIM_ERA_MAX_SELVES]; /* incarnations before restarts */
     uint32_t n_earlier;
-    GArray *sets;          /* LcClaimSet, oldest first; the last is the present era */
-    LcRevision whole;      /* newest era at which this agent is complete; 0: none */
-    LcRevision whole_from; /* complete at every era since this one */
-    GArray *alive;         /* LcMemberRef: members in the view that are not lost */
-    GArray *sources;       /* LcMemberRef: members read from in the present step */
-    GArray *stalled;       /* LcClaimStalled, of the present step */
-    GArray *of_previous;   /* gboolean for each source: of the previous set, else of the target */
+    GArray *sets;             /* LcClaimSet, oldest first; the last is the present era */
+    LcRevision complete;      /* newest era at which this agent is complete; 0: none */
+    LcRevision complete_from; /* complete at every era since this one */
+    GArray *alive;            /* LcMemberRef: members in the view that are not lost */
+    GArray *sources;          /* LcMemberRef: members read from in the present step */
+    GArray *stalled;          /* LcClaimStalled, of the present step */
+    GArray *of_previous; /* gboolean for each source: of the previous set, else of the target */
     int64_t step_since_us;
     uint64_t lost_total;
   } LcClaimEra;
@@ -141,11 +141,11 @@
   typedef struct
   {
     LcMemberRef member;
-    LcRevision target_era; /* the target era of the read, by which it chose its records */
-    LcRevision era;        /* newest era that it has applied */
-    LcRevision whole;      /* newest era at which it is complete */
-    LcRevision whole_from; /* complete at every era since this one */
-    int64_t lost_for_us;   /* it waits for lost members so long; 0: not, or not known */
+    LcRevision target_era;    /* the target era of the read, by which it chose its records */
+    LcRevision era;           /* newest era that it has applied */
+    LcRevision complete;      /* newest era at which it is complete */
+    LcRevision complete_from; /* complete at every era since this one */
+    int64_t lost_for_us;      /* it waits for lost members so long; 0: not, or not known */
   } LcClaimSource;
 
   /* All records of one member have arrived. */
--- a/src/core/request/lc-request-agent-claim.c
+++ b/src/core/request/lc-request-agent-claim.c
@@ -12,7 +12,7 @@
 static void
 lc_agent__keep (LcRequestAgent *agent, const LcClaimHold *hold)
 {
-  lc_agent__act (agent, LC_AGENT_KEEP)->keep = *hold;
+  lc_agent__act (agent, LC_AGENT_KEEP)->persist = *hold;
 }
 
 static int64_t
@@ -24,19 +24,19 @@
 }
 
 void
-lc_agent__note_held_up (LcRequestAgent *agent, LcRun *run, LcMemberRef home, LcClaimResult why)
+lc_agent__note_held_up (LcRequestAgent *agent, LcRun *run, LcMemberRef home, LcClaimResult result)
 {
   LcAgentAction *action;
 
-  if (run->is_held_up || run->waiters->len == 0)
+  if (run->is_delay_reported || run->waiters->len == 0)
     return;
-  run->is_held_up = true;
+  run->is_delay_reported = true;
   action = lc_agent__act (agent, LC_AGENT_HELD_UP);
-  action->held_up.ask = g_array_index (run->waiters, LcAsk, 0);
-  action->held_up.key = run->key;
-  action->held_up.home = home;
-  action->held_up.why = why;
-  action->held_up.deadline_us = run->deadline_us;
+  action->claim_delayed.attempt_id = g_array_index (run->waiters, LcAsk, 0);
+  action->claim_delayed.key = run->key;
+  action->claim_delayed.home = home;
+  action->claim_delayed.result = result;
+  action->claim_delayed.deadline_us = run->deadline_us;
 }
 
 /* Claims at this agent itself, which is one of the homes. */
@@ -223,15 +223,15 @@
   LcClaimEraState state;
 
   lc_claim_era_state (&agent->era, &state);
-  for (uint32_t i = 0; i < state.n_selves; i++)
+  for (uint32_t i = 0; i < state.n_incarnations; i++)
     sources[i] =
-        (LcClaimSource){ .member = state.selves[i],
+        (LcClaimSource){ .member = state.incarnations[i],
                          .target_era = target_era,
                          .era = lc_claim_era_now (&agent->era),
-                         .whole = state.whole,
-                         .whole_from = state.whole_from,
+                         .complete = state.complete,
+                         .complete_from = state.complete_from,
                          .lost_for_us = lc_claim_era_stalled_for_us (&agent->era, now_us) };
-  return state.n_selves;
+  return state.n_incarnations;
 }
 
 void
@@ -282,10 +282,10 @@
 void
 lc_request_agent_read_done (LcRequestAgent *agent, const LcClaimSource *source, int64_t now_us)
 {
-  LcRevision whole = agent->era.whole;
+  LcRevision complete = agent->era.complete;
 
   lc_claim_era_source (&agent->era, source, now_us);
-  if (agent->era.whole != whole)
+  if (agent->era.complete != complete)
     agent->last_read_us = 0;
 }
 
--- a/src/core/request/lc-request-agent-private.h
+++ b/src/core/request/lc-request-agent-private.h
@@ -42,14 +42,14 @@
   uint64_t id;
   LcRunState state;
   bool is_caller_key;
-  bool is_check;
+  bool is_query;
   uint64_t digest;
   int64_t deadline_us;
   int64_t next_round_us; /* claim: start of the next round, or timeout of the present one */
   int64_t started_us;
   int64_t expires_us;     /* when the record is dropped */
   int64_t retry_after_us; /* sent with a refusal; 0: computed from the queue */
-  bool is_held_up;        /* LC_AGENT_HELD_UP was emitted */
+  bool is_delay_reported; /* LC_AGENT_HELD_UP was emitted */
   LcClaimTry claim;
   GArray *waiters;       /* LcAsk */
   LcRefuseReason reason; /* UNKNOWN */
@@ -68,7 +68,7 @@
 LcAgentAction *lc_agent__act (LcRequestAgent *agent, LcAgentActionKind kind);
 /* The returned action is valid until the next one is added. */
 LcAgentAction *
-lc_agent__refuse (LcRequestAgent *agent, const LcAsk *ask, LcRefuseReason reason, bool is_checked);
+lc_agent__refuse (LcRequestAgent *agent, const LcAsk *ask, LcRefuseReason reason, bool is_claimed);
 void lc_agent__answer (LcRequestAgent *agent, const LcAsk *ask, LcAnswer *answer, bool is_replayed);
 LcSeen *lc_agent__find_seen (const LcRequestAgent *agent, const LcAsk *ask);
 bool lc_agent__see (LcRequestAgent *agent, const LcAsk *ask, int64_t until_us, bool is_tombstone);
@@ -87,7 +87,7 @@
 void lc_agent__stop (LcRequestAgent *agent, LcRun *run, int64_t now_us);
 void lc_agent__admit (LcRequestAgent *agent, LcRun *run, int64_t now_us);
 void
-lc_agent__note_held_up (LcRequestAgent *agent, LcRun *run, LcMemberRef home, LcClaimResult why);
+lc_agent__note_held_up (LcRequestAgent *agent, LcRun *run, LcMemberRef home, LcClaimResult result);
 void lc_agent__pause (LcRequestAgent *agent, LcRun *run, int64_t now_us);
 void lc_agent__start_claim (LcRequestAgent *agent, LcRun *run, int64_t now_us);
 
--- a/src/core/request/lc-request-agent-run.c
+++ b/src/core/request/lc-request-agent-run.c
@@ -12,13 +12,13 @@
 }
 
 LcAgentAction *
-lc_agent__refuse (LcRequestAgent *agent, const LcAsk *ask, LcRefuseReason reason, bool is_checked)
+lc_agent__refuse (LcRequestAgent *agent, const LcAsk *ask, LcRefuseReason reason, bool is_claimed)
 {
   LcAgentAction *action = lc_agent__act (agent, LC_AGENT_REFUSE);
 
-  action->refuse.ask = *ask;
+  action->refuse.attempt_id = *ask;
   action->refuse.reason = reason;
-  action->refuse.is_checked = is_checked;
+  action->refuse.is_claimed = is_claimed;
   action->refuse.retry_after_us = lc_admission_retry_after_us (&agent->admission);
   agent->stats.refused_total++;
   return action;
@@ -29,7 +29,7 @@
 {
   LcAgentAction *action = lc_agent__act (agent, LC_AGENT_ANSWER);
 
-  action->answer.ask = *ask;
+  action->answer.attempt_id = *ask;
   action->answer.answer = lc_answer_ref (answer);
   action->answer.is_replayed = is_replayed;
   agent->stats.replayed_total += is_replayed;
@@ -100,11 +100,11 @@
   run->key = attempt->key;
   run->state = LC_RUN_STATE_CLAIMING;
   run->is_caller_key = attempt->is_caller_key;
-  run->is_check = attempt->is_check;
+  run->is_query = attempt->is_query;
   run->digest = attempt->digest;
   run->deadline_us = attempt->deadline_us;
   run->waiters = g_array_new (FALSE, FALSE, sizeof (LcAsk));
-  g_array_append_val (run->waiters, attempt->ask);
+  g_array_append_val (run->waiters, attempt->attempt_id);
   g_hash_table_insert (agent->runs, &run->id, run);
   if (lc_agent__is_keyed (run))
     g_hash_table_insert (agent->by_key, &run->key, run);
@@ -166,12 +166,12 @@
 void
 lc_agent__abandon (LcRequestAgent *agent, LcRun *run, LcRefuseReason reason, LcMemberRef owner)
 {
-  bool is_checked = lc_agent__is_keyed (run) && run->state >= LC_RUN_STATE_QUEUED;
+  bool is_claimed = lc_agent__is_keyed (run) && run->state >= LC_RUN_STATE_QUEUED;
 
   for (guint i = 0; i < run->waiters->len; i++)
     {
       LcAgentAction *action =
-          lc_agent__refuse (agent, &g_array_index (run->waiters, LcAsk, i), reason, is_checked);
+          lc_agent__refuse (agent, &g_array_index (run->waiters, LcAsk, i), reason, is_claimed);
 
       action->refuse.owner = owner;
       if (run->retry_after_us > 0)
@@ -277,7 +277,7 @@
   LcAdmissionResult result;
 
   run->state = LC_RUN_STATE_QUEUED;
-  if (run->is_check)
+  if (run->is_query)
     {
       lc_agent__abandon_plain (agent, run, LC_REFUSE_REVOKED);
       return;
--- a/src/core/request/lc-request-agent.c
+++ b/src/core/request/lc-request-agent.c
@@ -6,31 +6,31 @@
 static uint64_t
 lc_agent__join (LcRequestAgent *agent, LcRun *run, const LcAgentAttempt *attempt)
 {
-  if (!attempt->is_check && !run->is_check && run->digest != attempt->digest)
+  if (!attempt->is_query && !run->is_query && run->digest != attempt->digest)
     {
-      lc_agent__refuse (agent, &attempt->ask, LC_REFUSE_KEY_REUSED, false);
+      lc_agent__refuse (agent, &attempt->attempt_id, LC_REFUSE_KEY_REUSED, false);
       return 0;
     }
   switch (run->state)
     {
     case LC_RUN_STATE_DONE:
       if (run->answer != NULL)
-        lc_agent__answer (agent, &attempt->ask, run->answer, true);
+        lc_agent__answer (agent, &attempt->attempt_id, run->answer, true);
       else
-        lc_agent__refuse (agent, &attempt->ask, LC_REFUSE_ANSWER_GONE, false);
+        lc_agent__refuse (agent, &attempt->attempt_id, LC_REFUSE_ANSWER_GONE, false);
       return 0;
     case LC_RUN_STATE_UNKNOWN:
-      lc_agent__refuse (agent, &attempt->ask, run->reason, false);
+      lc_agent__refuse (agent, &attempt->attempt_id, run->reason, false);
       return 0;
     default:
       break;
     }
-  g_array_append_val (run->waiters, attempt->ask);
+  g_array_append_val (run->waiters, attempt->attempt_id);
   run->deadline_us = MAX (run->deadline_us, attempt->deadline_us);
-  if (attempt->is_check || !run->is_check)
+  if (attempt->is_query || !run->is_query)
     return 0;
   /* So far the run had only queries; this attempt carries the request itself. */
-  run->is_check = false;
+  run->is_query = false;
   run->digest = attempt->digest;
   return run->id;
 }
@@ -49,7 +49,7 @@
   if (is_keyed && g_hash_table_size (agent->by_key) >= agent->desc.max_records)
     return LC_REFUSE_FULL;
   /* A key that the balancer generated has no other copies, so it is refused without a claim. */
-  if (is_keyed && !attempt->is_caller_key && !attempt->is_check &&
+  if (is_keyed && !attempt->is_caller_key && !attempt->is_query &&
       lc_admission_is_full (&agent->admission))
     return LC_REFUSE_FULL;
   return LC_REFUSE_NONE;
@@ -134,7 +134,7 @@
 uint64_t
 lc_request_agent_attempt (LcRequestAgent *agent, const LcAgentAttempt *attempt, int64_t now_us)
 {
-  const LcSeen *seen = lc_agent__find_seen (agent, &attempt->ask);
+  const LcSeen *seen = lc_agent__find_seen (agent, &attempt->attempt_id);
   LcRefuseReason reason;
   LcRun *run;
   uint64_t run_id;
@@ -143,17 +143,17 @@
     {
       agent->stats.duplicates_total++;
       if (seen->is_tombstone)
-        lc_agent__refuse (agent, &attempt->ask, LC_REFUSE_REVOKED, false);
+        lc_agent__refuse (agent, &attempt->attempt_id, LC_REFUSE_REVOKED, false);
       return 0;
     }
   if (attempt->instance != agent->desc.self.instance)
     {
-      lc_agent__refuse (agent, &attempt->ask, LC_REFUSE_STALE_INSTANCE, false);
+      lc_agent__refuse (agent, &attempt->attempt_id, LC_REFUSE_STALE_INSTANCE, false);
       return 0;
     }
-  if (!lc_agent__see (agent, &attempt->ask, attempt->deadline_us, false))
+  if (!lc_agent__see (agent, &attempt->attempt_id, attempt->deadline_us, false))
     {
-      lc_agent__refuse (agent, &attempt->ask, LC_REFUSE_FULL, false);
+      lc_agent__refuse (agent, &attempt->attempt_id, LC_REFUSE_FULL, false);
       return 0;
     }
   run = lc_request_key_is_none (attempt->key) ? NULL
@@ -163,7 +163,7 @@
   reason = lc_agent__reason_to_refuse (agent, attempt, now_us);
   if (reason != LC_REFUSE_NONE)
     {
-      lc_agent__refuse (agent, &attempt->ask, reason, false);
+      lc_agent__refuse (agent, &attempt->attempt_id, reason, false);
       return 0;
     }
   run = lc_agent__new_run (agent, attempt);
--- a/src/core/request/lc-request-agent.h
+++ b/src/core/request/lc-request-agent.h
@@ -60,28 +60,29 @@
 
   typedef struct
   {
-    LcAsk ask;
+    LcAsk attempt_id;
     LcInstance instance; /* the endpoint instance that it is addressed to */
     LcRequestKey key;    /* none: idempotent, needs no claim */
     bool is_caller_key;
-    bool is_check; /* runs nothing, only queries the outcome of the key */
+    bool is_query; /* runs nothing, only queries the outcome of the key */
     uint64_t digest;
     int64_t deadline_us;
   } LcAgentAttempt;
 
   typedef enum
   {
-    LC_AGENT_START = 1,    /* run_id: send it to the backend server */
-    LC_AGENT_STOP = 2,     /* run_id: cancel it at the backend server */
-    LC_AGENT_FORGET = 3,   /* run_id: drop its payload */
-    LC_AGENT_ANSWER = 4,   /* answer */
-    LC_AGENT_REFUSE = 5,   /* refuse */
-    LC_AGENT_CLAIM = 6,    /* claim: send it to the home */
-    LC_AGENT_RELEASE = 7,  /* claim: release it at the home */
-    LC_AGENT_READ = 8,     /* read: request the member's claims */
-    LC_AGENT_KEEP = 9,     /* keep: persist the claim for a restart, before any later action and
+    LC_AGENT_START = 1,   /* run_id: send it to the backend server */
+    LC_AGENT_STOP = 2,    /* run_id: cancel it at the backend server */
+    LC_AGENT_FORGET = 3,  /* run_id: drop its payload */
+    LC_AGENT_ANSWER = 4,  /* answer */
+    LC_AGENT_REFUSE = 5,  /* refuse */
+    LC_AGENT_CLAIM = 6,   /* claim: send it to the home */
+    LC_AGENT_RELEASE = 7, /* claim: release it at the home */
+    LC_AGENT_READ = 8,    /* read: request the member's claims */
+    LC_AGENT_KEEP = 9,    /* keep: persist the claim for a restart, before any later action and
                            * before the reply to the call that changed it */
-    LC_AGENT_HELD_UP = 10, /* held_up: the key can't be claimed for now; once a run, for logs */
+    LC_AGENT_HELD_UP =
+        10, /* claim_delayed: the key can't be claimed for now; once a run, for logs */
   } LcAgentActionKind;
 
   typedef struct
@@ -92,15 +93,15 @@
       uint64_t run_id;
       struct
       {
-        LcAsk ask;
+        LcAsk attempt_id;
         LcAnswer *answer; /* the action owns a reference */
         bool is_replayed;
       } answer;
       struct
       {
-        LcAsk ask;
+        LcAsk attempt_id;
         LcRefuseReason reason;
-        bool is_checked;
+        bool is_claimed;
         int64_t retry_after_us;
         LcMemberRef owner;
       } refuse;
@@ -119,13 +120,13 @@
       } read;
       struct
       {
-        LcAsk ask; /* the first attempt that waits for the run */
+        LcAsk attempt_id; /* the first attempt that waits for the run */
         LcRequestKey key;
-        LcMemberRef home;  /* none: there is no home, or none has answered */
-        LcClaimResult why; /* 0: no answer */
+        LcMemberRef home;     /* none: there is no home, or none has answered */
+        LcClaimResult result; /* 0: no answer */
         int64_t deadline_us;
-      } held_up;
-      LcClaimHold keep; /* expires_us 0: the claim was removed */
+      } claim_delayed;
+      LcClaimHold persist; /* expires_us 0: the claim was removed */
     };
   } LcAgentAction;
 
--- a/tests/request/fake-world.cc
+++ b/tests/request/fake-world.cc
@@ -134,7 +134,7 @@
     case LC_AGENT_REFUSE:
       {
         bool is_answer = action.kind == LC_AGENT_ANSWER;
-        const LcAsk &ask = is_answer ? action.answer.ask : action.refuse.ask;
+        const LcAsk &ask = is_answer ? action.answer.attempt_id : action.refuse.attempt_id;
         auto link = links.find (ask.link_id);
         LcAttemptRef ref = { ask.id, ask.attempt, ask.link_id };
         Message m;
@@ -154,7 +154,7 @@
           }
         else
           {
-            LcRefusal refusal = { action.refuse.reason, action.refuse.is_checked,
+            LcRefusal refusal = { action.refuse.reason, action.refuse.is_claimed,
                                   action.refuse.owner };
 
             m.deliver = [this, ref, refusal, b = m.to_balancer] {
@@ -252,7 +252,7 @@
     case LC_AGENT_HELD_UP:
       break;
     case LC_AGENT_KEEP:
-      p.kept_claims[{ action.keep.key.hi, action.keep.key.lo }] = action.keep;
+      p.kept_claims[{ action.persist.key.hi, action.persist.key.lo }] = action.persist;
       break;
     }
 }
@@ -340,11 +340,11 @@
       return;
     }
   lc_request_balancer_sent (&p.balancer, action.flight_id, action.send.number, link_id);
-  attempt.ask = { link_id, operation.request.id, action.send.number };
+  attempt.attempt_id = { link_id, operation.request.id, action.send.number };
   attempt.instance = action.send.ref.instance;
   attempt.key = operation.request.key;
   attempt.is_caller_key = operation.request.is_caller_key;
-  attempt.is_check = operation.request.is_ask;
+  attempt.is_query = operation.request.is_query;
   attempt.digest = operation.request.digest;
   m.to_agent = agent;
   m.deliver = [this, attempt, agent, left_us = action.send.left_us,
@@ -672,7 +672,7 @@
     {
       const Operation &o = *operations[i];
 
-      if (!o.request.is_ask)
+      if (!o.request.is_query)
         {
           auto at = all_not_run.emplace (o.token, true).first;
 
--- a/tests/request/test-claim-file.c
+++ b/tests/request/test-claim-file.c
@@ -22,9 +22,10 @@
 static const char BOOT[] = "11111111-2222-3333-4444-555555555555";
 static const char OTHER_BOOT[] = "99999999-2222-3333-4444-555555555555";
 
-static const LcClaimEraState KNOWN = {
-  .selves = { { SELF, EARLIER }, { SELF, 7 } }, .n_selves = 2, .whole = 40, .whole_from = 30
-};
+static const LcClaimEraState KNOWN = { .incarnations = { { SELF, EARLIER }, { SELF, 7 } },
+                                       .n_incarnations = 2,
+                                       .complete = 40,
+                                       .complete_from = 30 };
 
 static LcClaimFileDesc
 desc_of (LcFakeDisk *fake, const char *boot_id, const char *service)
@@ -68,8 +69,8 @@
   /* It was complete at an era, and had been restarted once. */
   agent.era.earlier[0] = (LcMemberRef){ SELF, 7 };
   agent.era.n_earlier = 1;
-  agent.era.whole = KNOWN.whole;
-  agent.era.whole_from = KNOWN.whole_from;
+  agent.era.complete = KNOWN.complete;
+  agent.era.complete_from = KNOWN.complete_from;
   ck_assert_int_eq (lc_claim_file_settle (&file, &agent, 0, &error), 0);
   for (uint64_t i = 0; i < N_KEYS; i++)
     {
@@ -147,12 +148,12 @@
   for (uint64_t i = N_KEYS; i > N_KEYS - STARTS[_i].n_claims; i--)
     ck_assert_uint_eq (lc_claim_store_find (&agent.store, hold_of (i).key, 0)->sequence, i);
   lc_claim_era_state (&agent.era, &state);
-  ck_assert_uint_eq (state.whole, STARTS[_i].is_resumed ? KNOWN.whole : 0);
-  ck_assert_uint_eq (state.n_selves, STARTS[_i].is_resumed ? 3 : 1);
-  ck_assert (lc_member_ref_equal (state.selves[0], (LcMemberRef){ SELF, LATER }));
+  ck_assert_uint_eq (state.complete, STARTS[_i].is_resumed ? KNOWN.complete : 0);
+  ck_assert_uint_eq (state.n_incarnations, STARTS[_i].is_resumed ? 3 : 1);
+  ck_assert (lc_member_ref_equal (state.incarnations[0], (LcMemberRef){ SELF, LATER }));
   if (STARTS[_i].is_resumed)
-    ck_assert (lc_member_ref_equal (state.selves[1], KNOWN.selves[0]) &&
-               lc_member_ref_equal (state.selves[2], KNOWN.selves[1]));
+    ck_assert (lc_member_ref_equal (state.incarnations[1], KNOWN.incarnations[0]) &&
+               lc_member_ref_equal (state.incarnations[2], KNOWN.incarnations[1]));
   lc_claim_file_finish (&file);
   lc_request_agent_finish (&agent);
   lc_fake_disk_free (fake);
--- a/tests/request/test-claims-lost.c
+++ b/tests/request/test-claims-lost.c
@@ -91,7 +91,7 @@
         {
           ck_assert_int_eq (action.refuse.reason, LC_REFUSE_UNCLAIMED);
           ck_assert_int_eq (action.refuse.retry_after_us, lost_for_us);
-          ck_assert (!action.refuse.is_checked); /* it may have run: never "not run" */
+          ck_assert (!action.refuse.is_claimed); /* it may have run: never "not run" */
           n++;
         }
       lc_agent_action_clear (&action);
@@ -111,7 +111,7 @@
   lc_request_agent_tick (&agent, now_us);
   for (uint64_t i = 1; i <= N_KEYS; i++)
     {
-      LcAgentAttempt attempt = { .ask = { .link_id = 1, .id = { 1, i }, .attempt = 1 },
+      LcAgentAttempt attempt = { .attempt_id = { .link_id = 1, .id = { 1, i }, .attempt = 1 },
                                  .instance = 1000 + SELF,
                                  .key = { i * 7919, (uint64_t)1 << 32 | i },
                                  .is_caller_key = true,
@@ -145,7 +145,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS (ANSWERS); i++)
     {
       int64_t now_us = LOST_AT_S * LC_US_PER_S + 1;
-      LcAgentAttempt attempt = { .ask = { .link_id = 1, .id = { 1, 1 }, .attempt = 1 },
+      LcAgentAttempt attempt = { .attempt_id = { .link_id = 1, .id = { 1, 1 }, .attempt = 1 },
                                  .instance = 1000 + SELF,
                                  .is_caller_key = true,
                                  .deadline_us = now_us + 3 * LC_US_PER_S };
@@ -158,7 +158,7 @@
       for (uint64_t k = 1; action.kind != LC_AGENT_CLAIM; k++)
         {
           attempt.key = (LcRequestKey){ k * 7919, (uint64_t)1 << 32 | k };
-          attempt.ask.id.lo = k;
+          attempt.attempt_id.id.lo = k;
           (void)lc_request_agent_attempt (&agent, &attempt, now_us);
           while (action.kind != LC_AGENT_CLAIM && lc_request_agent_take (&agent, &action))
             ;
--- a/tests/request/test-request.c
+++ b/tests/request/test-request.c
@@ -65,7 +65,7 @@
       for (uint32_t k = 0; k < 2 && ends[k] != NONE; k++)
         {
           LcRefusal refusal = { .reason = LC_REFUSE_FULL,
-                                .is_checked = ends[k] == REFUSED_CHECKED };
+                                .is_claimed = ends[k] == REFUSED_CHECKED };
           uint32_t number = lc_attempt_begin (&attempt, A, k + 1);
 
           if (ends[k] == LOST)
@@ -124,7 +124,7 @@
   {
     LcRefuseReason reason;
     LcOutcome outcome;
-    bool is_ask;
+    bool is_query;
     uint16_t status;
     LcOutcome said;
   } CASES[] = {
@@ -141,7 +141,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS (CASES); i++)
     {
       LcCallerAnswer answer =
-          lc_filter_answer (CASES[i].reason, CASES[i].outcome, 0, CASES[i].is_ask);
+          lc_filter_answer (CASES[i].reason, CASES[i].outcome, 0, CASES[i].is_query);
 
       ck_assert_msg (answer.status == CASES[i].status, "case %zu: %u", i, answer.status);
       ck_assert_msg (answer.outcome == CASES[i].said, "case %zu", i);
@@ -279,7 +279,9 @@
 START_TEST (test_evacuated_agent_refuses_queued_and_new_requests)
 {
   LcRequestAgentDesc desc = { .self = { 1, 101 }, .admission = { .slots = 1 } };
-  LcAgentAttempt attempt = { .ask = { .link_id = 1 }, .instance = 101, .deadline_us = LC_US_PER_S };
+  LcAgentAttempt attempt = { .attempt_id = { .link_id = 1 },
+                             .instance = 101,
+                             .deadline_us = LC_US_PER_S };
   LcAgentActionKind kinds[4] = { 0 };
   LcRefuseReason reasons[4] = { 0 };
   LcRequestAgent agent;
@@ -288,7 +290,7 @@
   lc_request_agent_init (&agent, &desc);
   for (uint64_t i = 0; i < 4; i++)
     {
-      attempt.ask.id = (LcRequestId){ 1, i };
+      attempt.attempt_id.id = (LcRequestId){ 1, i };
       if (i >= 2)
         lc_request_agent_set_evacuated (&agent, i == 2);
       (void)lc_request_agent_attempt (&agent, &attempt, 1);
@@ -299,15 +301,14 @@
         kinds[0] = action.kind;
       if (action.kind != LC_AGENT_REFUSE)
         continue;
-      kinds[action.refuse.ask.id.lo] = action.kind;
-      reasons[action.refuse.ask.id.lo] = action.refuse.reason;
+      kinds[action.refuse.attempt_id.id.lo] = action.kind;
+      reasons[action.refuse.attempt_id.id.lo] = action.refuse.reason;
     }
   ck_assert_int_eq (kinds[0], LC_AGENT_START);
   for (int i = 1; i <= 2; i++)
     {
       ck_assert_int_eq (kinds[i], LC_AGENT_REFUSE);
-      ck_assert_int_eq (reasons[i],
-                        LC_REFUSE_DRAINING); /* "not run": retried elsewhere */
+      ck_assert_int_eq (reasons[i], LC_REFUSE_DRAINING); /* "not run": retried elsewhere */
     }
   ck_assert_int_eq (kinds[3], 0); /* queued for the slot */
   lc_request_agent_finish (&agent);
@@ -613,8 +614,8 @@
   LcClaimSource source = { .member = { id, 1000 + id }, .era = lc_claim_era_now (era) };
 
   source.target_era = lc_claim_era_target (era);
-  source.whole = era->whole;
-  source.whole_from = era->whole_from;
+  source.complete = era->complete;
+  source.complete_from = era->complete_from;
   if (source.target_era != 0)
     lc_claim_era_source (era, &source, now_us);
 }
