--- a/src/core/request/lc-admission.h
+++ b/src/core/request/lc-admission.h
@@ -10,7 +10,7 @@
  * HOW TO USE IT
  *     lc_admission_init (&admission, &(LcAdmissionDesc){ .slots = 4 });
  *     r = lc_admission_submit (&admission, ticket, deadline_us, now_us, &retry_after_us);
- *     LC_ADMISSION_START: run it now; QUEUED: `lc_admission_next` returns it later; else refused
+ *     LC_ADMISSION_START: run it now; QUEUED: lc_admission_next pops it later; else refused
  *     lc_admission_end (&admission, result, started_us, now_us);   a run has ended
  *     while (lc_admission_next (&admission, now_us, &ticket)) start (ticket);
  *     while (lc_admission_expire (&admission, now_us, &ticket)) refuse (ticket);
--- a/src/core/request/lc-claim-era.h
+++ b/src/core/request/lc-claim-era.h
@@ -24,12 +24,12 @@
  *   claim needs them all and so was granted before that.
  *
  * HOW TO USE IT
- *     lc_claim_era_init (&era, &(LcClaimEraDesc){ .self = me });
- *     lc_claim_era_set (&era, lc_view_service (view, id), now_us);   after each view change
- *     n = lc_claim_era_wanted (&era, members, max);                  members to read from, if any
- *     lc_claim_era_source (&era, &source, now_us);                   a read has ended
- *     lc_claim_era_tick (&era, now_us);                              regularly
- *     lc_claim_era_knows (&era, key)                                 may a claim be granted?
+ *     lc_claim_era_init (&sync, &(LcClaimEraDesc){ .self = me });
+ *     lc_claim_era_set (&sync, lc_view_service (view, id), now_us); after each view change
+ *     n = lc_claim_era_wanted (&sync, members, max);         members to read from, if any
+ *     lc_claim_era_source (&sync, &source, now_us);                   a read has ended
+ *     lc_claim_era_tick (&sync, now_us);                              regularly
+ *     lc_claim_era_knows (&sync, key)                                 may a claim be granted?
  *
  * LIFETIME
  *   Owns its copies of the candidate sets.
@@ -38,9 +38,10 @@
  *   A step reads from every member: its messages grow with the square of a service's endpoints.
  *
  * AFTER A RESTART
- *   A process that has kept its claims and its state (lc_claim_era_state) continues as its earlier
- *   incarnations as well as the present one: it holds their claims, and they grant nothing more.
- *   The caller makes sure that the resumed claims are complete and the earlier process has ended.
+ *   A process that has persisted its claims and its state (lc_claim_era_state) continues as its
+ *   earlier incarnations as well as the present one: it holds their claims, and they grant nothing
+ *   more.  The caller makes sure that the resumed claims are complete and the earlier process has
+ *   ended.
  */
 #ifndef LC_CLAIM_ERA_H
 #define LC_CLAIM_ERA_H
@@ -106,36 +107,36 @@
     uint64_t lost_total;
   } LcClaimEra;
 
-  void lc_claim_era_init (LcClaimEra *era, const LcClaimEraDesc *desc);
-  void lc_claim_era_finish (LcClaimEra *era);
+  void lc_claim_era_init (LcClaimEra *sync, const LcClaimEraDesc *desc);
+  void lc_claim_era_finish (LcClaimEra *sync);
 
   /* Restores the state that an earlier process persisted; call it right after init. */
-  void lc_claim_era_resume (LcClaimEra *era, const LcClaimEraState *state);
+  void lc_claim_era_resume (LcClaimEra *sync, const LcClaimEraState *state);
 
   /* The state to persist for a restart. */
-  void lc_claim_era_state (const LcClaimEra *era, LcClaimEraState *state);
+  void lc_claim_era_state (const LcClaimEra *sync, LcClaimEraState *state);
   bool lc_claim_era_state_equal (const LcClaimEraState *a, const LcClaimEraState *b);
 
   /* Sets the candidate sets of the newest view; `service` is NULL when it was removed. */
-  void lc_claim_era_set (LcClaimEra *era, const LcService *service, int64_t now_us);
+  void lc_claim_era_set (LcClaimEra *sync, const LcService *service, int64_t now_us);
 
   /* The revision of the present era; 0 before the first. */
-  LcRevision lc_claim_era_now (const LcClaimEra *era);
+  LcRevision lc_claim_era_now (const LcClaimEra *sync);
 
   /* The members of the present era. */
-  const LcClaimSet *lc_claim_era_present (const LcClaimEra *era);
+  const LcClaimSet *lc_claim_era_present (const LcClaimEra *sync);
 
   /* The era that is being read for; 0 when this agent is complete. */
-  LcRevision lc_claim_era_target (const LcClaimEra *era);
+  LcRevision lc_claim_era_target (const LcClaimEra *sync);
 
   /* The members of an era; NULL when the view no longer has it. */
-  const LcClaimSet *lc_claim_era_find (const LcClaimEra *era, LcRevision since);
+  const LcClaimSet *lc_claim_era_find (const LcClaimEra *sync, LcRevision since);
 
   /* The number of members in all sets: an upper bound for lc_claim_era_wanted. */
-  uint32_t lc_claim_era_n_members (const LcClaimEra *era);
+  uint32_t lc_claim_era_n_members (const LcClaimEra *sync);
 
   /* Writes the members that the present step still has to read from. */
-  uint32_t lc_claim_era_wanted (const LcClaimEra *era, LcMemberRef *out, uint32_t max);
+  uint32_t lc_claim_era_wanted (const LcClaimEra *sync, LcMemberRef *out, uint32_t max);
 
   /* The state that a member reports with its claims. */
   typedef struct
@@ -149,20 +150,20 @@
   } LcClaimSource;
 
   /* All records of one member have arrived. */
-  void lc_claim_era_source (LcClaimEra *era, const LcClaimSource *source, int64_t now_us);
+  void lc_claim_era_source (LcClaimEra *sync, const LcClaimSource *source, int64_t now_us);
 
   /* Ends a step whose missing sources are lost for good. */
-  void lc_claim_era_tick (LcClaimEra *era, int64_t now_us);
+  void lc_claim_era_tick (LcClaimEra *sync, int64_t now_us);
 
   /* Whether this agent is a home of `key` and holds all of its earlier claims. */
-  bool lc_claim_era_knows (const LcClaimEra *era, LcRequestKey key);
+  bool lc_claim_era_knows (const LcClaimEra *sync, LcRequestKey key);
 
   /* How long claims of `key` can't be granted because every source is lost or itself waits for
    * lost members.  0: they can be granted now, or as soon as a source answers. */
-  int64_t lc_claim_era_lost_for_us (const LcClaimEra *era, LcRequestKey key, int64_t now_us);
+  int64_t lc_claim_era_lost_for_us (const LcClaimEra *sync, LcRequestKey key, int64_t now_us);
 
   /* The same for the present step, whatever the key: a member reports it when it is read. */
-  int64_t lc_claim_era_stalled_for_us (const LcClaimEra *era, int64_t now_us);
+  int64_t lc_claim_era_stalled_for_us (const LcClaimEra *sync, int64_t now_us);
 
 #ifdef __cplusplus
 }
