--- a/bench/lc-lychee-act.c
+++ b/bench/lc-lychee-act.c
@@ -87,7 +87,7 @@
 lc_lychee__send_read (LcLychee *l, uint32_t p, const LcAgentAction *action)
 {
   LcNode *node = &l->nodes[p];
-  const LcClaimSet *set = lc_claim_era_find (&node->agent.era, action->read.era);
+  const LcClaimSet *set = lc_claim_era_find (&node->agent.claim_sync, action->read.era);
   LcEvent *event = lc_lychee__message (l, LC_EV_READ, p, lc_lychee__member (action->read.member));
 
   if (event == NULL || event->to_instance != action->read.member.instance)
--- a/bench/lc-request-lychee.c
+++ b/bench/lc-request-lychee.c
@@ -87,7 +87,8 @@
                                          event->claim.owner, event->claim.sequence,
                                          event->claim.era, event->claim.keep_us, l->now_us, &hold);
   reply.holder = hold.owner;
-  reply.lost_for_us = lc_claim_era_lost_for_us (&node->agent.era, event->claim.key, l->now_us);
+  reply.lost_for_us =
+      lc_claim_era_lost_for_us (&node->agent.claim_sync, event->claim.key, l->now_us);
   back = lc_lychee__message (l, LC_EV_CLAIM_REPLY, event->to, event->from);
   if (back != NULL)
     back->reply = reply;
--- a/fuzz/fuzz-claims.c
+++ b/fuzz/fuzz-claims.c
@@ -57,7 +57,7 @@
   lc_claim_file_init (&file, &desc);
   if (lc_claim_file_load (&file, &agent, 0, &error) != (int)lc_claim_store_size (&agent.store))
     abort ();
-  lc_claim_era_state (&agent.era, &state);
+  lc_claim_era_state (&agent.claim_sync, &state);
   if (state.n_incarnations == 0 || state.n_incarnations > LC_CLAIM_ERA_MAX_SELVES)
     abort ();
   lc_claim_file_finish (&file);
--- a/src/agent/lc-agent-claims.c
+++ b/src/agent/lc-agent-claims.c
@@ -50,7 +50,8 @@
   if (r < 0)
     return r;
   LC_INFO ("request.claims-resumed", "claims", LC_U64 (r), "earlier_members",
-           LC_U64 (plane->core.era.n_earlier), "whole", LC_U64 (plane->core.era.complete));
+           LC_U64 (plane->core.claim_sync.n_earlier), "whole",
+           LC_U64 (plane->core.claim_sync.complete));
   return 0;
 }
 
@@ -128,7 +129,7 @@
                     lc_clock_now_us ());
   if (answer.result == LC_CLAIM_NOT_READY)
     answer.lost_for_us =
-        (uint64_t)lc_claim_era_lost_for_us (&plane->core.era, key, lc_clock_now_us ());
+        (uint64_t)lc_claim_era_lost_for_us (&plane->core.claim_sync, key, lc_clock_now_us ());
   (void)lc_link_send (link, LC_FRAME_CLAIM_ANSWER, &answer.base);
   lc__request__claim__free_unpacked (claim, NULL);
 }
--- a/src/agent/lc-agent-request.c
+++ b/src/agent/lc-agent-request.c
@@ -361,7 +361,7 @@
     s->unclaimed_total,
     s->unknown_total,
     plane->malformed_total,
-    plane->core.era.lost_total,
+    plane->core.claim_sync.lost_total,
     plane->core.store.expired_total,
     plane->claims.errors_total,
   };
--- a/src/agent/lc-agent-send.c
+++ b/src/agent/lc-agent-send.c
@@ -225,7 +225,7 @@
 void
 lc_agent_request__send_read (LcAgentRequest *plane, const LcAgentAction *action, int64_t now_us)
 {
-  const LcClaimSet *set = lc_claim_era_find (&plane->core.era, action->read.era);
+  const LcClaimSet *set = lc_claim_era_find (&plane->core.claim_sync, action->read.era);
   LcLink *link = lc_agent_request__member_link (plane, action->read.member, now_us);
   Lc__Request__ClaimRead message = LC__REQUEST__CLAIM_READ__INIT;
   Lc__Request__Member self = LC__REQUEST__MEMBER__INIT;
--- a/src/agent/lc-claim-file.c
+++ b/src/agent/lc-claim-file.c
@@ -194,7 +194,7 @@
   gpointer value;
   int r;
 
-  lc_claim_era_state (&agent->era, &file->state);
+  lc_claim_era_state (&agent->claim_sync, &file->state);
   lc_claim_file__add_head (bytes, &file->desc);
   lc_claim_file__add_state (bytes, &file->state);
   g_hash_table_iter_init (&iter, agent->store.holds);
@@ -288,7 +288,7 @@
     return 0;
   if (!file->is_good || file->bytes > 2 * file->bytes_anew + LC_CLAIM_FILE_SLACK)
     return lc_claim_file__make_anew (file, agent, now_us, error);
-  lc_claim_era_state (&agent->era, &state);
+  lc_claim_era_state (&agent->claim_sync, &state);
   if (lc_claim_era_state_equal (&state, &file->state))
     return 0;
   file->state = state;
--- a/src/core/request/lc-request-agent-claim.c
+++ b/src/core/request/lc-request-agent-claim.c
@@ -101,8 +101,9 @@
           }
         verdict = lc_agent__claim_here (agent, run, &holder, now_us);
         if (verdict == LC_CLAIM_TRY_AGAIN &&
-            lc_agent__refuse_lost (
-                agent, run, lc_claim_era_lost_for_us (&agent->era, run->key, now_us), now_us))
+            lc_agent__refuse_lost (agent, run,
+                                   lc_claim_era_lost_for_us (&agent->claim_sync, run->key, now_us),
+                                   now_us))
           return;
         if (verdict != LC_CLAIM_TRY_PENDING)
           {
@@ -122,14 +123,14 @@
 void
 lc_agent__start_claim (LcRequestAgent *agent, LcRun *run, int64_t now_us)
 {
-  const LcClaimSet *present = lc_claim_era_present (&agent->era);
+  const LcClaimSet *present = lc_claim_era_present (&agent->claim_sync);
   uint32_t n_members = present != NULL ? present->n_members : 0;
 
   run->state = LC_RUN_STATE_CLAIMING;
   run->next_round_us = now_us + LC_AGENT_CLAIM_WAIT_US;
   lc_claim_try_start (&run->claim, run->key, agent->desc.self, ++agent->next_sequence,
-                      lc_claim_era_now (&agent->era), present != NULL ? present->members : NULL,
-                      n_members);
+                      lc_claim_era_now (&agent->claim_sync),
+                      present != NULL ? present->members : NULL, n_members);
   if (run->claim.n_homes == 0)
     {
       lc_agent__note_held_up (agent, run, (LcMemberRef){ 0 }, LC_CLAIM_NOT_READY);
@@ -176,9 +177,9 @@
 {
   LcClaimResult result;
 
-  if (home_instance != agent->desc.self.instance || era != lc_claim_era_now (&agent->era))
+  if (home_instance != agent->desc.self.instance || era != lc_claim_era_now (&agent->claim_sync))
     return LC_CLAIM_STALE;
-  if (!lc_claim_era_knows (&agent->era, key))
+  if (!lc_claim_era_knows (&agent->claim_sync, key))
     return LC_CLAIM_NOT_READY;
   result = lc_claim_store_claim (&agent->store, key, owner, sequence, keep_us, now_us, hold);
   if (result == LC_CLAIM_GRANTED)
@@ -222,15 +223,15 @@
 {
   LcClaimEraState state;
 
-  lc_claim_era_state (&agent->era, &state);
+  lc_claim_era_state (&agent->claim_sync, &state);
   for (uint32_t i = 0; i < state.n_incarnations; i++)
     sources[i] =
         (LcClaimSource){ .member = state.incarnations[i],
                          .target_era = target_era,
-                         .era = lc_claim_era_now (&agent->era),
+                         .era = lc_claim_era_now (&agent->claim_sync),
                          .complete = state.complete,
                          .complete_from = state.complete_from,
-                         .lost_for_us = lc_claim_era_stalled_for_us (&agent->era, now_us) };
+                         .lost_for_us = lc_claim_era_stalled_for_us (&agent->claim_sync, now_us) };
   return state.n_incarnations;
 }
 
@@ -276,23 +277,23 @@
 void
 lc_request_agent_resume (LcRequestAgent *agent, const LcClaimEraState *state)
 {
-  lc_claim_era_resume (&agent->era, state);
+  lc_claim_era_resume (&agent->claim_sync, state);
 }
 
 void
 lc_request_agent_read_done (LcRequestAgent *agent, const LcClaimSource *source, int64_t now_us)
 {
-  LcRevision complete = agent->era.complete;
+  LcRevision complete = agent->claim_sync.complete;
 
-  lc_claim_era_source (&agent->era, source, now_us);
-  if (agent->era.complete != complete)
+  lc_claim_era_source (&agent->claim_sync, source, now_us);
+  if (agent->claim_sync.complete != complete)
     agent->last_read_us = 0;
 }
 
 LcRevision
 lc_request_agent_registered (const LcRequestAgent *agent, LcRevision view_revision)
 {
-  LcRevision target = lc_claim_era_target (&agent->era);
+  LcRevision target = lc_claim_era_target (&agent->claim_sync);
 
   return target == 0 ? view_revision : target - 1;
 }
--- a/src/core/request/lc-request-agent.c
+++ b/src/core/request/lc-request-agent.c
@@ -72,7 +72,7 @@
     agent->desc.max_records = LC_AGENT_MAX_RECORDS;
   lc_admission_init (&agent->admission, &desc->admission);
   lc_claim_store_init (&agent->store, &desc->store);
-  lc_claim_era_init (&agent->era, &era);
+  lc_claim_era_init (&agent->claim_sync, &era);
   agent->runs = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, lc_agent__run_free);
   agent->active = g_hash_table_new (g_int64_hash, g_int64_equal);
   agent->by_key = g_hash_table_new (lc_request_id_hash, lc_request_id_is_equal);
@@ -97,7 +97,7 @@
   g_hash_table_destroy (agent->seen);
   g_array_free (agent->actions, TRUE);
   lc_claim_store_finish (&agent->store);
-  lc_claim_era_finish (&agent->era);
+  lc_claim_era_finish (&agent->claim_sync);
   memset (agent, 0, sizeof *agent);
 }
 
@@ -109,17 +109,17 @@
                        LcEndpointId self_id,
                        int64_t now_us)
 {
-  LcRevision before = lc_claim_era_now (&agent->era);
+  LcRevision before = lc_claim_era_now (&agent->claim_sync);
   GHashTableIter iter;
   gpointer value;
 
   if (self_id != 0)
     {
       agent->desc.self.id = self_id;
-      agent->era.desc.self.id = self_id;
+      agent->claim_sync.desc.self.id = self_id;
     }
-  lc_claim_era_set (&agent->era, service, now_us);
-  if (lc_claim_era_now (&agent->era) == before)
+  lc_claim_era_set (&agent->claim_sync, service, now_us);
+  if (lc_claim_era_now (&agent->claim_sync) == before)
     return;
   agent->last_read_us = 0;
   g_hash_table_iter_init (&iter, agent->active);
@@ -232,7 +232,8 @@
 
   if (run != NULL)
     lc_agent__leave (agent, run, at, now_us);
-  else if (seen == NULL && lc_agent__see (agent, ask, now_us + agent->era.desc.lost_after_us, true))
+  else if (seen == NULL &&
+           lc_agent__see (agent, ask, now_us + agent->claim_sync.desc.lost_after_us, true))
     lc_agent__refuse (agent, ask, LC_REFUSE_REVOKED, false);
   else if (seen != NULL && seen->is_tombstone)
     lc_agent__refuse (agent, ask, LC_REFUSE_REVOKED, false);
@@ -378,22 +379,22 @@
 static void
 lc_agent__read_members (LcRequestAgent *agent, int64_t now_us)
 {
-  uint32_t max = lc_claim_era_n_members (&agent->era);
+  uint32_t max = lc_claim_era_n_members (&agent->claim_sync);
   LcMemberRef *members;
   uint32_t n;
 
-  if (lc_claim_era_target (&agent->era) == 0 ||
+  if (lc_claim_era_target (&agent->claim_sync) == 0 ||
       (now_us - agent->last_read_us < LC_AGENT_READ_EVERY_US && agent->last_read_us != 0))
     return;
   members = g_new (LcMemberRef, max + 1);
-  n = lc_claim_era_wanted (&agent->era, members, max);
+  n = lc_claim_era_wanted (&agent->claim_sync, members, max);
   agent->last_read_us = now_us;
   for (uint32_t i = 0; i < n; i++)
     {
       LcAgentAction *action = lc_agent__act (agent, LC_AGENT_READ);
 
       action->read.member = members[i];
-      action->read.era = lc_claim_era_target (&agent->era);
+      action->read.era = lc_claim_era_target (&agent->claim_sync);
     }
   g_free (members);
 }
@@ -442,7 +443,7 @@
     }
   g_free (ids);
   lc_agent__pump (agent, now_us);
-  lc_claim_era_tick (&agent->era, now_us);
+  lc_claim_era_tick (&agent->claim_sync, now_us);
   lc_agent__read_members (agent, now_us);
   lc_agent__expire_records (agent, now_us);
   lc_agent__expire (agent, now_us);
--- a/src/core/request/lc-request-agent.h
+++ b/src/core/request/lc-request-agent.h
@@ -10,7 +10,7 @@
  * HOW TO USE IT
  *     lc_request_agent_init (&agent, &desc);
  *     lc_request_agent_view (&agent, service, now_us);
- *     run_id = lc_request_agent_attempt (&agent, &attempt, now_us);   not 0: store its payload
+ *     run_id = lc_request_agent_attempt (&agent, &attempt, now_us);   0: no payload to keep
  *     while (lc_request_agent_take (&agent, &action))
  *       { execute it; lc_agent_action_clear (&action); }
  *     lc_request_agent_ended (&agent, run_id, LC_RUN_OK, answer, now_us);
@@ -146,13 +146,12 @@
     LcRequestAgentDesc desc;
     LcAdmission admission;
     LcClaimStore store;
-    LcClaimEra era;
+    LcClaimEra claim_sync;
     LcRequestAgentStats stats;
     GHashTable *runs;   /* run id -> LcRun, owned */
     GHashTable *active; /* LcRun that have not ended */
     GHashTable *by_key; /* LcRequestKey -> LcRun */
-    GHashTable
-        *seen; /* LcAsk without its link -> LcSeen, for deduplication and early cancellations */
+    GHashTable *seen;   /* LcAsk without its link -> LcSeen, to drop duplicate attempts */
     GArray *actions;
     guint n_taken;
     GQueue answered; /* LcRun with a recorded answer, oldest first */
--- a/tests/request/fake-world.cc
+++ b/tests/request/fake-world.cc
@@ -187,7 +187,8 @@
           reply.sequence = claim.sequence;
           reply.era = claim.era;
           reply.holder = hold.owner;
-          reply.lost_for_us = lc_claim_era_lost_for_us (&agents[home].agent.era, claim.key, now_us);
+          reply.lost_for_us =
+              lc_claim_era_lost_for_us (&agents[home].agent.claim_sync, claim.key, now_us);
           back.to_agent = self;
           back.deliver = [this, reply, self] {
             lc_request_agent_claim_reply (&agents[self].agent, &reply, now_us);
@@ -215,7 +216,7 @@
     case LC_AGENT_READ:
       {
         LcMemberRef reader = p.agent.desc.self;
-        const LcClaimSet *set = lc_claim_era_find (&p.agent.era, action.read.era);
+        const LcClaimSet *set = lc_claim_era_find (&p.agent.claim_sync, action.read.era);
         std::vector<LcMemberRef> members (set->members, set->members + set->n_members);
         LcMemberRef asked = action.read.member;
         Message m;
@@ -276,7 +277,7 @@
       agent_action (p, action);
       lc_agent_action_clear (&action);
     }
-  lc_claim_era_state (&p.agent.era, &p.kept_state);
+  lc_claim_era_state (&p.agent.claim_sync, &p.kept_state);
 }
 
 void
@@ -495,7 +496,7 @@
 World::is_quiet ()
 {
   for (auto &a : agents)
-    if (a.alive && (a.applied != ops.size () || lc_claim_era_target (&a.agent.era) != 0))
+    if (a.alive && (a.applied != ops.size () || lc_claim_era_target (&a.agent.claim_sync) != 0))
       return false;
   for (auto &a : agents)
     if (!a.alive && (a.committed == LC_ENDPOINT_ACTIVE || a.committed == LC_ENDPOINT_JOINING))
--- a/tests/request/test-claim-file.c
+++ b/tests/request/test-claim-file.c
@@ -67,10 +67,10 @@
   init_agent (&agent, EARLIER);
   ck_assert_int_eq (lc_claim_file_load (&file, &agent, 0, &error), 0);
   /* It was complete at an era, and had been restarted once. */
-  agent.era.earlier[0] = (LcMemberRef){ SELF, 7 };
-  agent.era.n_earlier = 1;
-  agent.era.complete = KNOWN.complete;
-  agent.era.complete_from = KNOWN.complete_from;
+  agent.claim_sync.earlier[0] = (LcMemberRef){ SELF, 7 };
+  agent.claim_sync.n_earlier = 1;
+  agent.claim_sync.complete = KNOWN.complete;
+  agent.claim_sync.complete_from = KNOWN.complete_from;
   ck_assert_int_eq (lc_claim_file_settle (&file, &agent, 0, &error), 0);
   for (uint64_t i = 0; i < N_KEYS; i++)
     {
@@ -147,7 +147,7 @@
                  STARTS[_i].what, lc_claim_store_size (&agent.store));
   for (uint64_t i = N_KEYS; i > N_KEYS - STARTS[_i].n_claims; i--)
     ck_assert_uint_eq (lc_claim_store_find (&agent.store, hold_of (i).key, 0)->sequence, i);
-  lc_claim_era_state (&agent.era, &state);
+  lc_claim_era_state (&agent.claim_sync, &state);
   ck_assert_uint_eq (state.complete, STARTS[_i].is_resumed ? KNOWN.complete : 0);
   ck_assert_uint_eq (state.n_incarnations, STARTS[_i].is_resumed ? 3 : 1);
   ck_assert (lc_member_ref_equal (state.incarnations[0], (LcMemberRef){ SELF, LATER }));
--- a/tests/request/test-claims-lost.c
+++ b/tests/request/test-claims-lost.c
@@ -206,12 +206,12 @@
         {
           LcClaimSource source = { .member = { 2 + k, 1002 + k } };
 
-          source.target_era = lc_claim_era_target (&agent.era);
+          source.target_era = lc_claim_era_target (&agent.claim_sync);
           source.lost_for_us = MEMBERS[i].lost_for_s[k] * LC_US_PER_S;
           if (source.lost_for_us >= 0)
             lc_request_agent_read_done (&agent, &source, now_us);
         }
-      ck_assert_msg (lc_claim_era_stalled_for_us (&agent.era, now_us) ==
+      ck_assert_msg (lc_claim_era_stalled_for_us (&agent.claim_sync, now_us) ==
                          MEMBERS[i].stalled_for_s * LC_US_PER_S,
                      "%s", MEMBERS[i].what);
       lc_request_agent_finish (&agent);
