--- a/src/core/request/lc-pick.h
+++ b/src/core/request/lc-pick.h
@@ -12,7 +12,7 @@
  *     lc_pick_init (&pick, &(LcPickDesc){ .own_dc = dc });
  *     lc_pick_set (&pick, lc_view_service (view, id), now_us);    after each view change
  *     LcPickTarget *t = lc_pick_choose (&pick, random, tried, n_tried, now_us);
- *     lc_pick_begin (t, now_us);       when it is sent; lc_pick_end (t) when it ends
+ *     lc_pick_begin (t, now_us);   when it is sent; lc_pick_end (t) when it ends
  *     lc_pick_report (&pick, instance, &report, now_us);
  *
  * LIFETIME
