--- a/src/core/request/lc-request-agent-claim.c
+++ b/src/core/request/lc-request-agent-claim.c
@@ -1,7 +1,7 @@
 #include "lc-request-agent-private.h"
 
-/* A request is held for claims that are known to be lost no longer than this: about as long as
- * callers are patient who say nothing of it. */
+/* How long a request may wait for lost claims: about the patience of callers that send no timeout.
+ */
 #define LC_CLAIM_HOLD_US (3 * LC_US_PER_S)
 
 /* === private: claiming ====================================================================== */
@@ -12,7 +12,7 @@
 static void
 lc_agent__keep (LcRequestAgent *agent, const LcClaimHold *hold)
 {
-  lc_agent__act (agent, LC_AGENT_KEEP)->keep = *hold;
+  lc_agent__act (agent, LC_AGENT_KEEP)->persist = *hold;
 }
 
 static int64_t
@@ -24,22 +24,22 @@
 }
 
 void
-lc_agent__note_held_up (LcRequestAgent *agent, LcRun *run, LcMemberRef home, LcClaimResult why)
+lc_agent__note_held_up (LcRequestAgent *agent, LcRun *run, LcMemberRef home, LcClaimResult result)
 {
   LcAgentAction *action;
 
-  if (run->is_held_up || run->asks->len == 0)
+  if (run->is_delay_reported || run->waiters->len == 0)
     return;
-  run->is_held_up = true;
+  run->is_delay_reported = true;
   action = lc_agent__act (agent, LC_AGENT_HELD_UP);
-  action->held_up.ask = g_array_index (run->asks, LcAsk, 0);
-  action->held_up.key = run->key;
-  action->held_up.home = home;
-  action->held_up.why = why;
-  action->held_up.deadline_us = run->deadline_us;
+  action->claim_delayed.attempt_id = g_array_index (run->waiters, LcAsk, 0);
+  action->claim_delayed.key = run->key;
+  action->claim_delayed.home = home;
+  action->claim_delayed.result = result;
+  action->claim_delayed.deadline_us = run->deadline_us;
 }
 
-/* This agent is one of the homes itself. */
+/* Claims at this agent itself, which is one of the homes. */
 static LcClaimVerdict
 lc_agent__claim_here (LcRequestAgent *agent, LcRun *run, LcMemberRef *holder, int64_t now_us)
 {
@@ -67,9 +67,9 @@
   action->claim.keep_us = lc_agent__claim_keep_us (agent, run, now_us);
 }
 
-/* Nobody can tell for so long whether the key has run: the request is refused now, with the time to
- * come back, rather than held up to a deadline that its caller does not wait for.  Returns whether
- * it was refused. */
+/* While the claims of a key are lost it is unknown whether the key has run.  If that lasts too long
+ * the request is refused now, with a retry time, rather than kept until a deadline that its caller
+ * does not wait for.  Returns whether it was refused. */
 static bool
 lc_agent__refuse_lost (LcRequestAgent *agent, LcRun *run, int64_t lost_for_us, int64_t now_us)
 {
@@ -81,7 +81,7 @@
   return true;
 }
 
-/* Asks the homes whose turn it is, until one must be waited for or the claim is decided. */
+/* Sends the claim to the next homes, until a reply is outstanding or the claim is decided. */
 static void
 lc_agent__ask_homes (LcRequestAgent *agent, LcRun *run, int64_t now_us)
 {
@@ -101,8 +101,9 @@
           }
         verdict = lc_agent__claim_here (agent, run, &holder, now_us);
         if (verdict == LC_CLAIM_TRY_AGAIN &&
-            lc_agent__refuse_lost (
-                agent, run, lc_claim_era_lost_for_us (&agent->era, run->key, now_us), now_us))
+            lc_agent__refuse_lost (agent, run,
+                                   lc_claim_era_lost_for_us (&agent->claim_sync, run->key, now_us),
+                                   now_us))
           return;
         if (verdict != LC_CLAIM_TRY_PENDING)
           {
@@ -116,20 +117,20 @@
 lc_agent__pause (LcRequestAgent *agent, LcRun *run, int64_t now_us)
 {
   run->state = LC_RUN_STATE_PAUSED;
-  run->again_us = now_us + lc_claim_try_pause_us (&run->claim);
+  run->next_round_us = now_us + lc_claim_try_pause_us (&run->claim);
 }
 
 void
 lc_agent__start_claim (LcRequestAgent *agent, LcRun *run, int64_t now_us)
 {
-  const LcClaimSet *present = lc_claim_era_present (&agent->era);
+  const LcClaimSet *present = lc_claim_era_present (&agent->claim_sync);
   uint32_t n_members = present != NULL ? present->n_members : 0;
 
   run->state = LC_RUN_STATE_CLAIMING;
-  run->again_us = now_us + LC_AGENT_CLAIM_WAIT_US;
+  run->next_round_us = now_us + LC_AGENT_CLAIM_WAIT_US;
   lc_claim_try_start (&run->claim, run->key, agent->desc.self, ++agent->next_sequence,
-                      lc_claim_era_now (&agent->era), present != NULL ? present->members : NULL,
-                      n_members);
+                      lc_claim_era_now (&agent->claim_sync),
+                      present != NULL ? present->members : NULL, n_members);
   if (run->claim.n_homes == 0)
     {
       lc_agent__note_held_up (agent, run, (LcMemberRef){ 0 }, LC_CLAIM_NOT_READY);
@@ -176,9 +177,9 @@
 {
   LcClaimResult result;
 
-  if (home_instance != agent->desc.self.instance || era != lc_claim_era_now (&agent->era))
+  if (home_instance != agent->desc.self.instance || era != lc_claim_era_now (&agent->claim_sync))
     return LC_CLAIM_STALE;
-  if (!lc_claim_era_knows (&agent->era, key))
+  if (!lc_claim_era_knows (&agent->claim_sync, key))
     return LC_CLAIM_NOT_READY;
   result = lc_claim_store_claim (&agent->store, key, owner, sequence, keep_us, now_us, hold);
   if (result == LC_CLAIM_GRANTED)
@@ -216,22 +217,22 @@
 
 uint32_t
 lc_request_agent_sources (const LcRequestAgent *agent,
-                          LcRevision asked,
+                          LcRevision target_era,
                           int64_t now_us,
                           LcClaimSource sources[LC_CLAIM_ERA_MAX_SELVES])
 {
   LcClaimEraState state;
 
-  lc_claim_era_state (&agent->era, &state);
-  for (uint32_t i = 0; i < state.n_selves; i++)
+  lc_claim_era_state (&agent->claim_sync, &state);
+  for (uint32_t i = 0; i < state.n_incarnations; i++)
     sources[i] =
-        (LcClaimSource){ .member = state.selves[i],
-                         .asked = asked,
-                         .era = lc_claim_era_now (&agent->era),
-                         .whole = state.whole,
-                         .whole_from = state.whole_from,
-                         .lost_for_us = lc_claim_era_stalled_for_us (&agent->era, now_us) };
-  return state.n_selves;
+        (LcClaimSource){ .member = state.incarnations[i],
+                         .target_era = target_era,
+                         .era = lc_claim_era_now (&agent->claim_sync),
+                         .complete = state.complete,
+                         .complete_from = state.complete_from,
+                         .lost_for_us = lc_claim_era_stalled_for_us (&agent->claim_sync, now_us) };
+  return state.n_incarnations;
 }
 
 void
@@ -276,23 +277,23 @@
 void
 lc_request_agent_resume (LcRequestAgent *agent, const LcClaimEraState *state)
 {
-  lc_claim_era_resume (&agent->era, state);
+  lc_claim_era_resume (&agent->claim_sync, state);
 }
 
 void
 lc_request_agent_read_done (LcRequestAgent *agent, const LcClaimSource *source, int64_t now_us)
 {
-  LcRevision whole = agent->era.whole;
+  LcRevision complete = agent->claim_sync.complete;
 
-  lc_claim_era_source (&agent->era, source, now_us);
-  if (agent->era.whole != whole)
-    agent->read_us = 0;
+  lc_claim_era_source (&agent->claim_sync, source, now_us);
+  if (agent->claim_sync.complete != complete)
+    agent->last_read_us = 0;
 }
 
 LcRevision
 lc_request_agent_registered (const LcRequestAgent *agent, LcRevision view_revision)
 {
-  LcRevision target = lc_claim_era_target (&agent->era);
+  LcRevision target = lc_claim_era_target (&agent->claim_sync);
 
   return target == 0 ? view_revision : target - 1;
 }
--- a/src/core/request/lc-request-agent-run.c
+++ b/src/core/request/lc-request-agent-run.c
@@ -12,13 +12,13 @@
 }
 
 LcAgentAction *
-lc_agent__refuse (LcRequestAgent *agent, const LcAsk *ask, LcRefuseReason reason, bool is_checked)
+lc_agent__refuse (LcRequestAgent *agent, const LcAsk *ask, LcRefuseReason reason, bool is_claimed)
 {
   LcAgentAction *action = lc_agent__act (agent, LC_AGENT_REFUSE);
 
-  action->refuse.ask = *ask;
+  action->refuse.attempt_id = *ask;
   action->refuse.reason = reason;
-  action->refuse.is_checked = is_checked;
+  action->refuse.is_claimed = is_claimed;
   action->refuse.retry_after_us = lc_admission_retry_after_us (&agent->admission);
   agent->stats.refused_total++;
   return action;
@@ -29,15 +29,15 @@
 {
   LcAgentAction *action = lc_agent__act (agent, LC_AGENT_ANSWER);
 
-  action->answer.ask = *ask;
+  action->answer.attempt_id = *ask;
   action->answer.answer = lc_answer_ref (answer);
   action->answer.is_replayed = is_replayed;
   agent->stats.replayed_total += is_replayed;
 }
 
-/* === private: what was seen ================================================================= */
+/* === private: deduplication of attempts ===================================================== */
 
-/* Request ids are random, so adding the attempt's number keeps them apart. */
+/* Request ids are random, so adding the attempt number makes a unique key. */
 static LcRequestId
 lc_agent__seen_key (const LcAsk *ask)
 {
@@ -52,7 +52,7 @@
   return g_hash_table_lookup (agent->seen, &key);
 }
 
-/* Remembers an attempt until nobody can wait for it any more; false when there is no room. */
+/* Records an attempt until it can't arrive or be waited for any more; false when full. */
 bool
 lc_agent__see (LcRequestAgent *agent, const LcAsk *ask, int64_t until_us, bool is_tombstone)
 {
@@ -74,8 +74,8 @@
   LcRun *run = data;
 
   lc_answer_unref (run->answer);
-  if (run->asks != NULL)
-    g_array_free (run->asks, TRUE);
+  if (run->waiters != NULL)
+    g_array_free (run->waiters, TRUE);
   g_free (run);
 }
 
@@ -100,11 +100,11 @@
   run->key = attempt->key;
   run->state = LC_RUN_STATE_CLAIMING;
   run->is_caller_key = attempt->is_caller_key;
-  run->is_check = attempt->is_check;
+  run->is_query = attempt->is_query;
   run->digest = attempt->digest;
   run->deadline_us = attempt->deadline_us;
-  run->asks = g_array_new (FALSE, FALSE, sizeof (LcAsk));
-  g_array_append_val (run->asks, attempt->ask);
+  run->waiters = g_array_new (FALSE, FALSE, sizeof (LcAsk));
+  g_array_append_val (run->waiters, attempt->attempt_id);
   g_hash_table_insert (agent->runs, &run->id, run);
   if (lc_agent__is_keyed (run))
     g_hash_table_insert (agent->by_key, &run->key, run);
@@ -138,7 +138,7 @@
   g_hash_table_remove (agent->runs, &run->id);
 }
 
-/* Tells the homes that this claim will never be used. */
+/* Releases the claim at every home that was asked. */
 static void
 lc_agent__release (LcRequestAgent *agent, const LcRun *run)
 {
@@ -162,16 +162,16 @@
     }
 }
 
-/* Ends a run that has not started: everyone is refused, the claim is given back. */
+/* Ends a run that has not started: refuses all of its attempts and releases the claim. */
 void
 lc_agent__abandon (LcRequestAgent *agent, LcRun *run, LcRefuseReason reason, LcMemberRef owner)
 {
-  bool is_checked = lc_agent__is_keyed (run) && run->state >= LC_RUN_STATE_QUEUED;
+  bool is_claimed = lc_agent__is_keyed (run) && run->state >= LC_RUN_STATE_QUEUED;
 
-  for (guint i = 0; i < run->asks->len; i++)
+  for (guint i = 0; i < run->waiters->len; i++)
     {
       LcAgentAction *action =
-          lc_agent__refuse (agent, &g_array_index (run->asks, LcAsk, i), reason, is_checked);
+          lc_agent__refuse (agent, &g_array_index (run->waiters, LcAsk, i), reason, is_claimed);
 
       action->refuse.owner = owner;
       if (run->retry_after_us > 0)
@@ -188,7 +188,7 @@
   lc_agent__abandon (agent, run, reason, (LcMemberRef){ 0 });
 }
 
-/* Ends a run that did start: a keyed one stays on record. */
+/* Ends a run that has started: a keyed one stays on record. */
 void
 lc_agent__close (LcRequestAgent *agent, LcRun *run, LcRunState state, int64_t now_us)
 {
@@ -197,8 +197,8 @@
       lc_agent__remove_run (agent, run);
       return;
     }
-  g_array_free (run->asks, TRUE);
-  run->asks = NULL;
+  g_array_free (run->waiters, TRUE);
+  run->waiters = NULL;
   g_hash_table_remove (agent->active, &run->id);
   lc_agent__act (agent, LC_AGENT_FORGET)->run_id = run->id;
   run->state = state;
@@ -209,8 +209,8 @@
 void
 lc_agent__close_unknown (LcRequestAgent *agent, LcRun *run, LcRefuseReason reason, int64_t now_us)
 {
-  for (guint i = 0; i < run->asks->len; i++)
-    lc_agent__refuse (agent, &g_array_index (run->asks, LcAsk, i), reason, false);
+  for (guint i = 0; i < run->waiters->len; i++)
+    lc_agent__refuse (agent, &g_array_index (run->waiters, LcAsk, i), reason, false);
   run->reason = reason;
   agent->stats.unknown_total++;
   lc_agent__close (agent, run, LC_RUN_STATE_UNKNOWN, now_us);
@@ -225,7 +225,7 @@
   lc_agent__act (agent, LC_AGENT_START)->run_id = run->id;
 }
 
-/* Starts what can start and refuses what has waited too long. */
+/* Refuses queued runs that are past their deadline and starts as many as there are free slots. */
 void
 lc_agent__pump (LcRequestAgent *agent, int64_t now_us)
 {
@@ -277,12 +277,12 @@
   LcAdmissionResult result;
 
   run->state = LC_RUN_STATE_QUEUED;
-  if (run->is_check)
+  if (run->is_query)
     {
       lc_agent__abandon_plain (agent, run, LC_REFUSE_REVOKED);
       return;
     }
-  if (agent->is_evacuated) /* since this run began to claim its key */
+  if (agent->is_evacuated) /* became so while this run claimed its key */
     {
       lc_agent__abandon_plain (agent, run, LC_REFUSE_DRAINING);
       return;
--- a/src/core/request/lc-request-agent.c
+++ b/src/core/request/lc-request-agent.c
@@ -2,35 +2,35 @@
 
 /* === private: attempts ====================================================================== */
 
-/* A copy of a run that is known here. */
+/* Adds an attempt to the run of its key, or answers it from the record. */
 static uint64_t
 lc_agent__join (LcRequestAgent *agent, LcRun *run, const LcAgentAttempt *attempt)
 {
-  if (!attempt->is_check && !run->is_check && run->digest != attempt->digest)
+  if (!attempt->is_query && !run->is_query && run->digest != attempt->digest)
     {
-      lc_agent__refuse (agent, &attempt->ask, LC_REFUSE_KEY_REUSED, false);
+      lc_agent__refuse (agent, &attempt->attempt_id, LC_REFUSE_KEY_REUSED, false);
       return 0;
     }
   switch (run->state)
     {
     case LC_RUN_STATE_DONE:
       if (run->answer != NULL)
-        lc_agent__answer (agent, &attempt->ask, run->answer, true);
+        lc_agent__answer (agent, &attempt->attempt_id, run->answer, true);
       else
-        lc_agent__refuse (agent, &attempt->ask, LC_REFUSE_ANSWER_GONE, false);
+        lc_agent__refuse (agent, &attempt->attempt_id, LC_REFUSE_ANSWER_GONE, false);
       return 0;
     case LC_RUN_STATE_UNKNOWN:
-      lc_agent__refuse (agent, &attempt->ask, run->reason, false);
+      lc_agent__refuse (agent, &attempt->attempt_id, run->reason, false);
       return 0;
     default:
       break;
     }
-  g_array_append_val (run->asks, attempt->ask);
+  g_array_append_val (run->waiters, attempt->attempt_id);
   run->deadline_us = MAX (run->deadline_us, attempt->deadline_us);
-  if (attempt->is_check || !run->is_check)
+  if (attempt->is_query || !run->is_query)
     return 0;
-  /* Someone only asked so far; this copy brings the request itself. */
-  run->is_check = false;
+  /* So far the run had only queries; this attempt carries the request itself. */
+  run->is_query = false;
   run->digest = attempt->digest;
   return run->id;
 }
@@ -48,8 +48,8 @@
     return LC_REFUSE_TOO_LATE;
   if (is_keyed && g_hash_table_size (agent->by_key) >= agent->desc.max_records)
     return LC_REFUSE_FULL;
-  /* A key of our own minting has no other copies: no claim is needed to refuse it. */
-  if (is_keyed && !attempt->is_caller_key && !attempt->is_check &&
+  /* A key that the balancer generated has no other copies, so it is refused without a claim. */
+  if (is_keyed && !attempt->is_caller_key && !attempt->is_query &&
       lc_admission_is_full (&agent->admission))
     return LC_REFUSE_FULL;
   return LC_REFUSE_NONE;
@@ -72,7 +72,7 @@
     agent->desc.max_records = LC_AGENT_MAX_RECORDS;
   lc_admission_init (&agent->admission, &desc->admission);
   lc_claim_store_init (&agent->store, &desc->store);
-  lc_claim_era_init (&agent->era, &era);
+  lc_claim_era_init (&agent->claim_sync, &era);
   agent->runs = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, lc_agent__run_free);
   agent->active = g_hash_table_new (g_int64_hash, g_int64_equal);
   agent->by_key = g_hash_table_new (lc_request_id_hash, lc_request_id_is_equal);
@@ -97,7 +97,7 @@
   g_hash_table_destroy (agent->seen);
   g_array_free (agent->actions, TRUE);
   lc_claim_store_finish (&agent->store);
-  lc_claim_era_finish (&agent->era);
+  lc_claim_era_finish (&agent->claim_sync);
   memset (agent, 0, sizeof *agent);
 }
 
@@ -109,19 +109,19 @@
                        LcEndpointId self_id,
                        int64_t now_us)
 {
-  LcRevision before = lc_claim_era_now (&agent->era);
+  LcRevision before = lc_claim_era_now (&agent->claim_sync);
   GHashTableIter iter;
   gpointer value;
 
   if (self_id != 0)
     {
       agent->desc.self.id = self_id;
-      agent->era.desc.self.id = self_id;
+      agent->claim_sync.desc.self.id = self_id;
     }
-  lc_claim_era_set (&agent->era, service, now_us);
-  if (lc_claim_era_now (&agent->era) == before)
+  lc_claim_era_set (&agent->claim_sync, service, now_us);
+  if (lc_claim_era_now (&agent->claim_sync) == before)
     return;
-  agent->read_us = 0;
+  agent->last_read_us = 0;
   g_hash_table_iter_init (&iter, agent->active);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((LcRun *)value)->state == LC_RUN_STATE_CLAIMING)
@@ -134,7 +134,7 @@
 uint64_t
 lc_request_agent_attempt (LcRequestAgent *agent, const LcAgentAttempt *attempt, int64_t now_us)
 {
-  const LcSeen *seen = lc_agent__find_seen (agent, &attempt->ask);
+  const LcSeen *seen = lc_agent__find_seen (agent, &attempt->attempt_id);
   LcRefuseReason reason;
   LcRun *run;
   uint64_t run_id;
@@ -143,17 +143,17 @@
     {
       agent->stats.duplicates_total++;
       if (seen->is_tombstone)
-        lc_agent__refuse (agent, &attempt->ask, LC_REFUSE_REVOKED, false);
+        lc_agent__refuse (agent, &attempt->attempt_id, LC_REFUSE_REVOKED, false);
       return 0;
     }
   if (attempt->instance != agent->desc.self.instance)
     {
-      lc_agent__refuse (agent, &attempt->ask, LC_REFUSE_STALE_INSTANCE, false);
+      lc_agent__refuse (agent, &attempt->attempt_id, LC_REFUSE_STALE_INSTANCE, false);
       return 0;
     }
-  if (!lc_agent__see (agent, &attempt->ask, attempt->deadline_us, false))
+  if (!lc_agent__see (agent, &attempt->attempt_id, attempt->deadline_us, false))
     {
-      lc_agent__refuse (agent, &attempt->ask, LC_REFUSE_FULL, false);
+      lc_agent__refuse (agent, &attempt->attempt_id, LC_REFUSE_FULL, false);
       return 0;
     }
   run = lc_request_key_is_none (attempt->key) ? NULL
@@ -163,7 +163,7 @@
   reason = lc_agent__reason_to_refuse (agent, attempt, now_us);
   if (reason != LC_REFUSE_NONE)
     {
-      lc_agent__refuse (agent, &attempt->ask, reason, false);
+      lc_agent__refuse (agent, &attempt->attempt_id, reason, false);
       return 0;
     }
   run = lc_agent__new_run (agent, attempt);
@@ -186,9 +186,9 @@
     {
       LcRun *run = value;
 
-      for (guint i = 0; i < run->asks->len; i++)
+      for (guint i = 0; i < run->waiters->len; i++)
         {
-          const LcAsk *known = &g_array_index (run->asks, LcAsk, i);
+          const LcAsk *known = &g_array_index (run->waiters, LcAsk, i);
 
           *at = i;
           if (known->link_id == ask->link_id && known->attempt == ask->attempt &&
@@ -199,18 +199,18 @@
   return NULL;
 }
 
-/* One of those who asked waits no more. */
+/* Removes one waiting attempt; the last one takes the run with it. */
 static void
 lc_agent__leave (LcRequestAgent *agent, LcRun *run, guint at, int64_t now_us)
 {
-  LcAsk ask = g_array_index (run->asks, LcAsk, at);
+  LcAsk ask = g_array_index (run->waiters, LcAsk, at);
 
-  if (run->asks->len > 1)
+  if (run->waiters->len > 1)
     {
-      /* Another copy goes on: this one will not run, but its key may. */
+      /* Other attempts still wait: this one won't run, but its key may. */
       bool is_running = run->state == LC_RUN_STATE_RUNNING;
 
-      g_array_remove_index (run->asks, at);
+      g_array_remove_index (run->waiters, at);
       lc_agent__refuse (agent, &ask, is_running ? LC_REFUSE_CANCELLED : LC_REFUSE_REVOKED, false);
       return;
     }
@@ -232,7 +232,8 @@
 
   if (run != NULL)
     lc_agent__leave (agent, run, at, now_us);
-  else if (seen == NULL && lc_agent__see (agent, ask, now_us + agent->era.desc.lost_after_us, true))
+  else if (seen == NULL &&
+           lc_agent__see (agent, ask, now_us + agent->claim_sync.desc.lost_after_us, true))
     lc_agent__refuse (agent, ask, LC_REFUSE_REVOKED, false);
   else if (seen != NULL && seen->is_tombstone)
     lc_agent__refuse (agent, ask, LC_REFUSE_REVOKED, false);
@@ -256,8 +257,8 @@
 static void
 lc_agent__end_ok (LcRequestAgent *agent, LcRun *run, LcAnswer *answer, int64_t now_us)
 {
-  for (guint i = 0; i < run->asks->len; i++)
-    lc_agent__answer (agent, &g_array_index (run->asks, LcAsk, i), answer, false);
+  for (guint i = 0; i < run->waiters->len; i++)
+    lc_agent__answer (agent, &g_array_index (run->waiters, LcAsk, i), answer, false);
   if (lc_agent__is_keyed (run))
     lc_agent__record_answer (agent, run, answer);
   lc_agent__close (agent, run, LC_RUN_STATE_DONE, now_us);
@@ -265,14 +266,14 @@
 
 void
 lc_request_agent_ended (
-    LcRequestAgent *agent, uint64_t run_id, LcRunEnd how, LcAnswer *answer, int64_t now_us)
+    LcRequestAgent *agent, uint64_t run_id, LcRunEnd result, LcAnswer *answer, int64_t now_us)
 {
   LcRun *run = g_hash_table_lookup (agent->runs, &run_id);
 
   if (run == NULL || run->state != LC_RUN_STATE_RUNNING)
     return;
-  lc_admission_end (&agent->admission, how, run->started_us, now_us);
-  switch (how)
+  lc_admission_end (&agent->admission, result, run->started_us, now_us);
+  switch (result)
     {
     case LC_RUN_OK:
       lc_agent__end_ok (agent, run, answer, now_us);
@@ -293,16 +294,16 @@
   lc_agent__pump (agent, now_us);
 }
 
-/* A keyed run goes on when its balancer is gone: the caller will ask for its answer elsewhere. */
+/* A keyed run continues without its balancer: the caller will ask another one for the answer. */
 static void
 lc_agent__leave_link (LcRequestAgent *agent, LcRun *run, uint64_t link_id, int64_t now_us)
 {
-  guint n_before = run->asks->len;
+  guint n_before = run->waiters->len;
 
-  for (guint i = run->asks->len; i > 0; i--)
-    if (g_array_index (run->asks, LcAsk, i - 1).link_id == link_id)
-      g_array_remove_index (run->asks, i - 1);
-  if (run->asks->len > 0 || n_before == 0)
+  for (guint i = run->waiters->len; i > 0; i--)
+    if (g_array_index (run->waiters, LcAsk, i - 1).link_id == link_id)
+      g_array_remove_index (run->waiters, i - 1);
+  if (run->waiters->len > 0 || n_before == 0)
     return;
   if (run->state != LC_RUN_STATE_RUNNING)
     {
@@ -313,7 +314,7 @@
     lc_agent__stop (agent, run, now_us);
 }
 
-/* Ending one run may end others, so calls that end runs go over a copy of the ids. */
+/* Ending one run may end others, so loops that end runs iterate over a copy of the ids. */
 static uint64_t *
 lc_agent__active_ids (const LcRequestAgent *agent, guint *n)
 {
@@ -346,7 +347,7 @@
 
 /* === public: time =========================================================================== */
 
-/* The time of a run counts: what can't end before its deadline is not started. */
+/* Enforces the deadline of a run and starts its next claim round when due. */
 static void
 lc_agent__tick_run (LcRequestAgent *agent, LcRun *run, int64_t now_us)
 {
@@ -359,7 +360,7 @@
           agent->stats.unclaimed_total++;
           lc_agent__abandon_plain (agent, run, LC_REFUSE_UNCLAIMED);
         }
-      else if (now_us >= run->again_us)
+      else if (now_us >= run->next_round_us)
         {
           if (run->state == LC_RUN_STATE_CLAIMING)
             lc_agent__note_held_up (agent, run, (LcMemberRef){ 0 }, 0);
@@ -378,22 +379,22 @@
 static void
 lc_agent__read_members (LcRequestAgent *agent, int64_t now_us)
 {
-  uint32_t max = lc_claim_era_n_members (&agent->era);
+  uint32_t max = lc_claim_era_n_members (&agent->claim_sync);
   LcMemberRef *members;
   uint32_t n;
 
-  if (lc_claim_era_target (&agent->era) == 0 ||
-      (now_us - agent->read_us < LC_AGENT_READ_EVERY_US && agent->read_us != 0))
+  if (lc_claim_era_target (&agent->claim_sync) == 0 ||
+      (now_us - agent->last_read_us < LC_AGENT_READ_EVERY_US && agent->last_read_us != 0))
     return;
   members = g_new (LcMemberRef, max + 1);
-  n = lc_claim_era_wanted (&agent->era, members, max);
-  agent->read_us = now_us;
+  n = lc_claim_era_wanted (&agent->claim_sync, members, max);
+  agent->last_read_us = now_us;
   for (uint32_t i = 0; i < n; i++)
     {
       LcAgentAction *action = lc_agent__act (agent, LC_AGENT_READ);
 
       action->read.member = members[i];
-      action->read.era = lc_claim_era_target (&agent->era);
+      action->read.era = lc_claim_era_target (&agent->claim_sync);
     }
   g_free (members);
 }
@@ -404,9 +405,9 @@
   GHashTableIter iter;
   gpointer value;
 
-  if (now_us - agent->expired_us < LC_AGENT_EXPIRE_EVERY_US)
+  if (now_us - agent->last_expiry_us < LC_AGENT_EXPIRE_EVERY_US)
     return;
-  agent->expired_us = now_us;
+  agent->last_expiry_us = now_us;
   lc_claim_store_expire (&agent->store, now_us);
   g_hash_table_iter_init (&iter, agent->seen);
   while (g_hash_table_iter_next (&iter, NULL, &value))
@@ -414,7 +415,7 @@
       g_hash_table_iter_remove (&iter);
 }
 
-/* Records are closed in the order in which they expire. */
+/* `closed` is ordered by expiry. */
 static void
 lc_agent__expire_records (LcRequestAgent *agent, int64_t now_us)
 {
@@ -442,7 +443,7 @@
     }
   g_free (ids);
   lc_agent__pump (agent, now_us);
-  lc_claim_era_tick (&agent->era, now_us);
+  lc_claim_era_tick (&agent->claim_sync, now_us);
   lc_agent__read_members (agent, now_us);
   lc_agent__expire_records (agent, now_us);
   lc_agent__expire (agent, now_us);
--- a/tests/request/fake-world.cc
+++ b/tests/request/fake-world.cc
@@ -51,7 +51,7 @@
   return next_link;
 }
 
-/* Both ends hear of it as of any message, some time. */
+/* Both ends are notified by a message, which may be delayed like any other. */
 void
 World::break_link (uint64_t id)
 {
@@ -134,7 +134,7 @@
     case LC_AGENT_REFUSE:
       {
         bool is_answer = action.kind == LC_AGENT_ANSWER;
-        const LcAsk &ask = is_answer ? action.answer.ask : action.refuse.ask;
+        const LcAsk &ask = is_answer ? action.answer.attempt_id : action.refuse.attempt_id;
         auto link = links.find (ask.link_id);
         LcAttemptRef ref = { ask.id, ask.attempt, ask.link_id };
         Message m;
@@ -154,7 +154,7 @@
           }
         else
           {
-            LcRefusal refusal = { action.refuse.reason, action.refuse.is_checked,
+            LcRefusal refusal = { action.refuse.reason, action.refuse.is_claimed,
                                   action.refuse.owner };
 
             m.deliver = [this, ref, refusal, b = m.to_balancer] {
@@ -187,7 +187,8 @@
           reply.sequence = claim.sequence;
           reply.era = claim.era;
           reply.holder = hold.owner;
-          reply.lost_for_us = lc_claim_era_lost_for_us (&agents[home].agent.era, claim.key, now_us);
+          reply.lost_for_us =
+              lc_claim_era_lost_for_us (&agents[home].agent.claim_sync, claim.key, now_us);
           back.to_agent = self;
           back.deliver = [this, reply, self] {
             lc_request_agent_claim_reply (&agents[self].agent, &reply, now_us);
@@ -215,12 +216,12 @@
     case LC_AGENT_READ:
       {
         LcMemberRef reader = p.agent.desc.self;
-        const LcClaimSet *set = lc_claim_era_find (&p.agent.era, action.read.era);
+        const LcClaimSet *set = lc_claim_era_find (&p.agent.claim_sync, action.read.era);
         std::vector<LcMemberRef> members (set->members, set->members + set->n_members);
         LcMemberRef asked = action.read.member;
         Message m;
 
-        m.to_agent = agent_of (asked); /* whoever is there now */
+        m.to_agent = agent_of (asked); /* the instance at that address now */
         m.deliver = [this, reader, members, self, asked_era = action.read.era, from = m.to_agent,
                      instance = p.instance] {
           std::vector<LcClaimSource> sources (LC_CLAIM_ERA_MAX_SELVES);
@@ -252,12 +253,12 @@
     case LC_AGENT_HELD_UP:
       break;
     case LC_AGENT_KEEP:
-      p.kept_claims[{ action.keep.key.hi, action.keep.key.lo }] = action.keep;
+      p.kept_claims[{ action.persist.key.hi, action.persist.key.lo }] = action.persist;
       break;
     }
 }
 
-/* What a process has written is there for the next one. */
+/* Restores what the previous process persisted. */
 void
 World::resume (Process &p)
 {
@@ -276,7 +277,7 @@
       agent_action (p, action);
       lc_agent_action_clear (&action);
     }
-  lc_claim_era_state (&p.agent.era, &p.kept_state);
+  lc_claim_era_state (&p.agent.claim_sync, &p.kept_state);
 }
 
 void
@@ -287,8 +288,7 @@
   executed[operations[operation]->token].push_back ({ operation, p.running[run_id] });
 }
 
-/* What the backend server does with a run: it may refuse it, run it and answer, or run it and lose
- * the answer. */
+/* Ends a run at the backend server: shed, run and answered, or run with the answer lost. */
 void
 World::end_run (Process &p, uint32_t arg)
 {
@@ -341,11 +341,11 @@
       return;
     }
   lc_request_balancer_sent (&p.balancer, action.flight_id, action.send.number, link_id);
-  attempt.ask = { link_id, operation.request.id, action.send.number };
+  attempt.attempt_id = { link_id, operation.request.id, action.send.number };
   attempt.instance = action.send.ref.instance;
   attempt.key = operation.request.key;
   attempt.is_caller_key = operation.request.is_caller_key;
-  attempt.is_check = operation.request.is_ask;
+  attempt.is_query = operation.request.is_query;
   attempt.digest = operation.request.digest;
   m.to_agent = agent;
   m.deliver = [this, attempt, agent, left_us = action.send.left_us,
@@ -491,12 +491,12 @@
 
 /* === faults ================================================================================= */
 
-/* Nothing is left to be learned: every agent in the present set lives and is whole. */
+/* Whether every agent of the present set is alive and holds all claims that it must. */
 bool
 World::is_quiet ()
 {
   for (auto &a : agents)
-    if (a.alive && (a.applied != ops.size () || lc_claim_era_target (&a.agent.era) != 0))
+    if (a.alive && (a.applied != ops.size () || lc_claim_era_target (&a.agent.claim_sync) != 0))
       return false;
   for (auto &a : agents)
     if (!a.alive && (a.committed == LC_ENDPOINT_ACTIVE || a.committed == LC_ENDPOINT_JOINING))
@@ -504,8 +504,8 @@
   return true;
 }
 
-/* Memory of at most r - 1 members may be lost before the others have read it again.  Where agents
- * keep their claims any number may die at once. */
+/* Without persisted claims, at most r - 1 members may lose their memory before the others have read
+ * the claims again; with them any number may die at once. */
 void
 World::kill_agent (int i)
 {
@@ -520,7 +520,7 @@
     return;
   n_losses++;
   for (auto &[run_id, begun] : agents[i].running)
-    execute (agents[i], run_id); /* the backend server goes on */
+    execute (agents[i], run_id); /* the backend server continues */
   stop (agents[i]);
   for (auto &[id, link] : links)
     if (link.agent == i)
@@ -662,8 +662,8 @@
     }
 }
 
-/* "Not run" means: this copy never runs, and no copy had started when this one came.  When all
- * copies were told so, none of them ever runs. */
+/* "Not run" means that this copy never runs and that no copy had started when this one arrived.  If
+ * every copy got that outcome, none of them ever runs. */
 void
 World::check_not_run ()
 {
@@ -673,7 +673,7 @@
     {
       const Operation &o = *operations[i];
 
-      if (!o.request.is_ask)
+      if (!o.request.is_query)
         {
           auto at = all_not_run.emplace (o.token, true).first;
 
--- a/tests/request/test-claim-file.c
+++ b/tests/request/test-claim-file.c
@@ -1,10 +1,9 @@
-/* An agent that is killed loses no claim that it has granted.
+/* Guards against agents that lose their granted claims when they are killed.
  *
- * THE STORY
- *   All five agents of a service were killed within seconds and started again two seconds later.
- * Their claims were gone with them, so that nobody could say of any key whether it had run, and the
- * service refused every order with a key for 65 s, with all backend servers alive (soak seed 2006:
- * 174 whole answers in 77 s, 3104 with the file). */
+ *   All five agents of a service were killed within seconds and restarted two seconds later without
+ *   their claims.  Nobody could tell of any key whether it had run, so the service refused every
+ *   keyed order for 65 s, with all backend servers alive (soak seed 2006: 174 complete answers in
+ *   77 s; 3104 with the claim file). */
 #include "agent/lc-claim-file.h"
 #include "tests/fakes/lc-fake-disk.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -23,9 +22,10 @@
 static const char BOOT[] = "11111111-2222-3333-4444-555555555555";
 static const char OTHER_BOOT[] = "99999999-2222-3333-4444-555555555555";
 
-static const LcClaimEraState KNOWN = {
-  .selves = { { SELF, EARLIER }, { SELF, 7 } }, .n_selves = 2, .whole = 40, .whole_from = 30
-};
+static const LcClaimEraState KNOWN = { .incarnations = { { SELF, EARLIER }, { SELF, 7 } },
+                                       .n_incarnations = 2,
+                                       .complete = 40,
+                                       .complete_from = 30 };
 
 static LcClaimFileDesc
 desc_of (LcFakeDisk *fake, const char *boot_id, const char *service)
@@ -54,7 +54,7 @@
                         .expires_us = 300 * LC_US_PER_S };
 }
 
-/* What a process writes in its life: it resumes a state, grants claims and releases the first. */
+/* One process: it has a state, grants claims, and releases the first. */
 static void
 live (LcFakeDisk *fake)
 {
@@ -66,11 +66,11 @@
   lc_claim_file_init (&file, &desc);
   init_agent (&agent, EARLIER);
   ck_assert_int_eq (lc_claim_file_load (&file, &agent, 0, &error), 0);
-  /* It was whole, and had started once before. */
-  agent.era.earlier[0] = (LcMemberRef){ SELF, 7 };
-  agent.era.n_earlier = 1;
-  agent.era.whole = KNOWN.whole;
-  agent.era.whole_from = KNOWN.whole_from;
+  /* It was complete at an era, and had been restarted once. */
+  agent.claim_sync.earlier[0] = (LcMemberRef){ SELF, 7 };
+  agent.claim_sync.n_earlier = 1;
+  agent.claim_sync.complete = KNOWN.complete;
+  agent.claim_sync.complete_from = KNOWN.complete_from;
   ck_assert_int_eq (lc_claim_file_settle (&file, &agent, 0, &error), 0);
   for (uint64_t i = 0; i < N_KEYS; i++)
     {
@@ -87,9 +87,9 @@
 typedef enum
 {
   DAMAGE_NONE,
-  DAMAGE_TAIL,   /* the last entry is cut short */
-  DAMAGE_MIDDLE, /* bytes of an entry are others */
-  DAMAGE_HEAD,   /* nothing but half of the head */
+  DAMAGE_TAIL,   /* the last entry is truncated */
+  DAMAGE_MIDDLE, /* an entry is overwritten */
+  DAMAGE_HEAD,   /* only half of the head is left */
 } Damage;
 
 static const struct
@@ -103,10 +103,10 @@
 } STARTS[] = {
   { "after a kill", BOOT, "order-desk", DAMAGE_NONE, N_KEYS - 1, true },
   { "killed in the middle of a write", BOOT, "order-desk", DAMAGE_TAIL, N_KEYS, true },
-  { "after a start of the VM", OTHER_BOOT, "order-desk", DAMAGE_NONE, 0, false },
+  { "after a reboot of the VM", OTHER_BOOT, "order-desk", DAMAGE_NONE, 0, false },
   { "for another service", BOOT, "ticket-vault", DAMAGE_NONE, 0, false },
-  { "damaged", BOOT, "order-desk", DAMAGE_MIDDLE, 0, false },
-  { "nothing but half of its head", BOOT, "order-desk", DAMAGE_HEAD, 0, false },
+  { "overwritten in the middle", BOOT, "order-desk", DAMAGE_MIDDLE, 0, false },
+  { "truncated within the head", BOOT, "order-desk", DAMAGE_HEAD, 0, false },
 };
 
 static void
@@ -147,20 +147,20 @@
                  STARTS[_i].what, lc_claim_store_size (&agent.store));
   for (uint64_t i = N_KEYS; i > N_KEYS - STARTS[_i].n_claims; i--)
     ck_assert_uint_eq (lc_claim_store_find (&agent.store, hold_of (i).key, 0)->sequence, i);
-  lc_claim_era_state (&agent.era, &state);
-  ck_assert_uint_eq (state.whole, STARTS[_i].is_resumed ? KNOWN.whole : 0);
-  ck_assert_uint_eq (state.n_selves, STARTS[_i].is_resumed ? 3 : 1);
-  ck_assert (lc_member_ref_equal (state.selves[0], (LcMemberRef){ SELF, LATER }));
+  lc_claim_era_state (&agent.claim_sync, &state);
+  ck_assert_uint_eq (state.complete, STARTS[_i].is_resumed ? KNOWN.complete : 0);
+  ck_assert_uint_eq (state.n_incarnations, STARTS[_i].is_resumed ? 3 : 1);
+  ck_assert (lc_member_ref_equal (state.incarnations[0], (LcMemberRef){ SELF, LATER }));
   if (STARTS[_i].is_resumed)
-    ck_assert (lc_member_ref_equal (state.selves[1], KNOWN.selves[0]) &&
-               lc_member_ref_equal (state.selves[2], KNOWN.selves[1]));
+    ck_assert (lc_member_ref_equal (state.incarnations[1], KNOWN.incarnations[0]) &&
+               lc_member_ref_equal (state.incarnations[2], KNOWN.incarnations[1]));
   lc_claim_file_finish (&file);
   lc_request_agent_finish (&agent);
   lc_fake_disk_free (fake);
 }
 END_TEST
 
-/* A file that lacks a claim is worse than none: its reader would grant that claim again. */
+/* A file that lacks a claim must not load: its reader would grant that claim again. */
 START_TEST (test_full_disk)
 {
   LcFakeDisk *fake = lc_fake_disk_new (1);
@@ -179,7 +179,7 @@
   fake->bytes_left = 10;
   ck_assert_int_lt (lc_claim_file_claim (&file, &hold, &error), 0);
   ck_assert_int_eq (lc_claim_file_claim (&file, &hold, &error),
-                    0); /* not written, nor told again */
+                    0); /* not written, and the error is reported once */
   init_agent (&next, LATER + 1);
   {
     LcClaimFile other;
@@ -205,7 +205,7 @@
 }
 END_TEST
 
-/* Claims come and go for hours: the file stays about as large as what is held. */
+/* Guards against a file that grows with every claim ever made rather than with the present ones. */
 START_TEST (test_growth)
 {
   LcFakeDisk *fake = lc_fake_disk_new (1);
