--- a/bench/lc-control-disk.c
+++ b/bench/lc-control-disk.c
@@ -75,7 +75,7 @@
           LcRaftMessage m;
 
           while (lc_raft_next_committed (&r->raft) != NULL)
-            lc_raft_applied (&r->raft);
+            lc_raft_mark_applied (&r->raft);
           if (lc_raft_take_persist (&r->raft, &persist))
             lc_store_task_write (&r->task, &persist);
           while (lc_raft_take_message (&r->raft, &m, lc_clock_now_us ()))
@@ -95,7 +95,7 @@
 
   r->n_syncs = report->counters.fsyncs_total;
   if (report->result == 0)
-    lc_raft_persisted (&r->raft, report->sequence, lc_clock_now_us ());
+    lc_raft_mark_persisted (&r->raft, report->sequence, lc_clock_now_us ());
   lc_disk__pump (r->bench);
 }
 
--- a/bench/lc-flow-world-callers.c
+++ b/bench/lc-flow-world-callers.c
@@ -357,7 +357,7 @@
       came = d->envelope;
       before = lc_world_seen (a, &d->packet.key);
     }
-  action = lc_flow_agent_packet (&a->agent, &d->envelope, &d->packet, w->now_us);
+  action = lc_flow_agent_handle_packet (&a->agent, &d->envelope, &d->packet, w->now_us);
   if (is_traced)
     lc_world_trace_packet (w, a, &came, d, &before, &action);
   switch (action.kind)
--- a/bench/lc-flow-world-nodes.c
+++ b/bench/lc-flow-world-nodes.c
@@ -217,7 +217,7 @@
   LcFlowMessage message;
   uint8_t bytes[LC_FLOW_WIRE_MAX];
 
-  while (lc_flow_agent_next (&a->agent, &message, w->now_us))
+  while (lc_flow_agent_next_message (&a->agent, &message, w->now_us))
     {
       w->counts.message_bytes += lc_flow_wire_write (&message, bytes, sizeof bytes);
       if ((uint32_t)g_rand_int_range (w->network, 0, 1000) < w->desc.loss_permille)
--- a/bench/lc-flow-world.c
+++ b/bench/lc-flow-world.c
@@ -213,7 +213,7 @@
   LcFlowKey key = lc_world_key_of (w, w->desc.trace_flow);
   LcWorldSeen before = lc_world_seen (a, &key);
 
-  lc_flow_agent_message (&a->agent, m, w->now_us);
+  lc_flow_agent_handle_message (&a->agent, m, w->now_us);
   lc_world_trace_message (w, a, m, &key, &before);
 }
 
@@ -225,7 +225,7 @@
   if (w->desc.trace_flow != 0)
     lc_world__traced_message (w, a, m);
   else
-    lc_flow_agent_message (&a->agent, m, w->now_us);
+    lc_flow_agent_handle_message (&a->agent, m, w->now_us);
   lc_world_send_messages (w, a);
 }
 
@@ -292,7 +292,7 @@
   for (uint32_t i = 0; i < LC_FLOW_WORLD_AGENTS; i++)
     {
       const LcWorldAgent *a = w->agents[i];
-      const char *fault = a != NULL && a->is_alive ? lc_flow_table_fault (&a->agent.table) : NULL;
+      const char *fault = a != NULL && a->is_alive ? lc_flow_table_check (&a->agent.table) : NULL;
 
       if (fault == NULL)
         continue;
--- a/bench/lc-lychee-act.c
+++ b/bench/lc-lychee-act.c
@@ -50,7 +50,7 @@
 lc_lychee__send_back (LcLychee *l, uint32_t p, const LcAgentAction *action)
 {
   bool is_answer = action->kind == LC_AGENT_ANSWER;
-  const LcAsk *ask = is_answer ? &action->answer.attempt_id : &action->refuse.attempt_id;
+  const LcAttemptId *ask = is_answer ? &action->answer.attempt_id : &action->refuse.attempt_id;
   uint32_t balancer = lc_lychee__link_balancer (ask->link_id);
   bool is_odd = is_answer && (l->sim->desc.what.fault == LC_SIM_LATE_CROSSED ||
                               l->sim->desc.what.fault == LC_SIM_RESEND);
@@ -87,7 +87,8 @@
 lc_lychee__send_read (LcLychee *l, uint32_t p, const LcAgentAction *action)
 {
   LcNode *node = &l->nodes[p];
-  const LcClaimSet *set = lc_claim_era_find (&node->agent.claim_sync, action->read.era);
+  const LcClaimMembers *set =
+      lc_claim_sync_find_members (&node->agent.claim_sync, action->read.era);
   LcEvent *event = lc_lychee__message (l, LC_EV_READ, p, lc_lychee__member (action->read.member));
 
   if (event == NULL || event->to_instance != action->read.member.instance)
@@ -121,7 +122,7 @@
   LcNode *node = &l->nodes[p];
   LcAgentAction action;
 
-  while (lc_request_agent_take (&node->agent, &action))
+  while (lc_request_agent_next_action (&node->agent, &action))
     {
       switch (action.kind)
         {
@@ -131,7 +132,7 @@
         case LC_AGENT_STOP:
           lc_lychee__count_busy (l, p, action.run_id);
           break;
-        case LC_AGENT_FORGET:
+        case LC_AGENT_DROP_PAYLOAD:
           break;
         case LC_AGENT_ANSWER:
         case LC_AGENT_REFUSE:
@@ -141,11 +142,11 @@
         case LC_AGENT_RELEASE:
           lc_lychee__send_claim (l, p, &action);
           break;
-        case LC_AGENT_READ:
+        case LC_AGENT_READ_CLAIMS:
           lc_lychee__send_read (l, p, &action);
           break;
-        case LC_AGENT_HELD_UP:
-        case LC_AGENT_KEEP:
+        case LC_AGENT_CLAIM_DELAYED:
+        case LC_AGENT_PERSIST:
           break; /* no agent of the bench resumes */
         }
       lc_agent_action_clear (&action);
@@ -189,12 +190,12 @@
 
   if (!is_there || copy == NULL)
     {
-      lc_request_balancer_unsent (&node->balancer, action->flight_id, action->send.number,
-                                  l->now_us);
+      lc_request_balancer_handle_send_failure (&node->balancer, action->flight_id,
+                                               action->send.number, l->now_us);
       return;
     }
-  lc_request_balancer_sent (&node->balancer, action->flight_id, action->send.number,
-                            lc_lychee__link (l, p, agent));
+  lc_request_balancer_handle_sent (&node->balancer, action->flight_id, action->send.number,
+                                   lc_lychee__link (l, p, agent));
   l->sim->result.attempts++;
   event = lc_lychee__message (l, LC_EV_ATTEMPT, p, agent);
   if (event == NULL)
@@ -246,7 +247,7 @@
   LcNode *node = &l->nodes[p];
   LcBalancerAction action;
 
-  while (lc_request_balancer_take (&node->balancer, &action))
+  while (lc_request_balancer_next_action (&node->balancer, &action))
     switch (action.kind)
       {
       case LC_BALANCER_SEND:
@@ -267,7 +268,8 @@
               agent = i;
           event = agent < LC_SIM_ENDPOINTS ? lc_lychee__message (l, LC_EV_CANCEL, p, agent) : NULL;
           if (event != NULL)
-            event->ask = (LcAsk){ action.cancel.link_id, action.cancel.id, action.cancel.number };
+            event->ask =
+                (LcAttemptId){ action.cancel.link_id, action.cancel.id, action.cancel.number };
           break;
         }
       }
@@ -287,7 +289,7 @@
   l->next_random++;
   request.random = (LcRequestId){ l->next_random, ((uint64_t)index << 32) | l->next_random };
   l->sim->orders[index].copies++;
-  flight_id = lc_request_balancer_start (&node->balancer, &request, &verdict);
+  flight_id = lc_request_balancer_start_request (&node->balancer, &request, &verdict);
   if (flight_id == 0)
     {
       l->sim->orders[index].told_not_run++;
--- a/bench/lc-lychee-view.c
+++ b/bench/lc-lychee-view.c
@@ -54,12 +54,13 @@
     (void)lc_view_apply (&node->view, &g_array_index (l->ops, LcViewOp, node->n_applied), &error);
   if (p < LC_LYCHEE_BALANCER)
     {
-      lc_request_agent_view (&node->agent, lc_view_service (&node->view, 1), p + 1, l->now_us);
+      lc_request_agent_set_service (&node->agent, lc_view_service (&node->view, 1), p + 1,
+                                    l->now_us);
       lc_lychee__act_agent (l, p);
       return;
     }
   node->balancer.desc.own_dc = (LcDcId)(lc_lychee__dc (p) + 1);
-  lc_request_balancer_view (&node->balancer, &node->view, l->now_us);
+  lc_request_balancer_set_view (&node->balancer, &node->view, l->now_us);
   lc_lychee__act_balancer (l, p);
 }
 
--- a/bench/lc-lychee-world.h
+++ b/bench/lc-lychee-world.h
@@ -60,7 +60,7 @@
     struct
     {
       uint64_t run_id;
-      LcRunEnd how;
+      LcRunResult how;
       int64_t started_us;
     } run;
     struct
@@ -69,7 +69,7 @@
       int64_t left_us;
       uint32_t order;
     } attempt;
-    LcAsk ask;
+    LcAttemptId ask;
     struct
     {
       LcAttemptRef ref;
--- a/bench/lc-request-lychee.c
+++ b/bench/lc-request-lychee.c
@@ -11,7 +11,7 @@
   uint64_t run_id;
 
   event->attempt.attempt.deadline_us = l->now_us + event->attempt.left_us;
-  run_id = lc_request_agent_attempt (&node->agent, &event->attempt.attempt, l->now_us);
+  run_id = lc_request_agent_handle_attempt (&node->agent, &event->attempt.attempt, l->now_us);
   if (run_id != 0)
     g_hash_table_insert (node->payloads, GSIZE_TO_POINTER (run_id),
                          GUINT_TO_POINTER (event->attempt.order + 1));
@@ -28,7 +28,7 @@
   LcAnswer *answer = lc_answer_new (200, g_bytes_new (NULL, 0), g_bytes_new (&index, sizeof index));
 
   lc_lychee__count_busy (l, event->to, event->run.run_id);
-  lc_request_agent_ended (&node->agent, event->run.run_id, event->run.how, answer, l->now_us);
+  lc_request_agent_end_run (&node->agent, event->run.run_id, event->run.how, answer, l->now_us);
   lc_answer_unref (answer);
   lc_lychee__act_agent (l, event->to);
 }
@@ -41,10 +41,10 @@
   uint32_t index;
   LcSimOrder *order;
 
-  lc_request_balancer_report (&node->balancer, event->back.reporter, &event->back.report,
-                              l->now_us);
-  flight_id = lc_request_balancer_answered (&node->balancer, &event->back.ref, event->back.is_whole,
-                                            200, l->now_us);
+  lc_request_balancer_handle_report (&node->balancer, event->back.reporter, &event->back.report,
+                                     l->now_us);
+  flight_id = lc_request_balancer_handle_answer (&node->balancer, &event->back.ref,
+                                                 event->back.is_whole, 200, l->now_us);
   if (flight_id != 0)
     {
       index = lc_lychee__flight_order (l, event->to, flight_id);
@@ -65,10 +65,10 @@
 {
   LcNode *node = &l->nodes[event->to];
 
-  lc_request_balancer_report (&node->balancer, event->back.reporter, &event->back.report,
-                              l->now_us);
-  lc_request_balancer_refused (&node->balancer, &event->back.ref, &event->back.refusal,
-                               event->back.retry_after_us, l->now_us);
+  lc_request_balancer_handle_report (&node->balancer, event->back.reporter, &event->back.report,
+                                     l->now_us);
+  lc_request_balancer_handle_refusal (&node->balancer, &event->back.ref, &event->back.refusal,
+                                      event->back.retry_after_us, l->now_us);
   lc_lychee__act_balancer (l, event->to);
 }
 
@@ -76,26 +76,26 @@
 lc_lychee__on_claim (LcLychee *l, const LcEvent *event)
 {
   LcNode *node = &l->nodes[event->to];
-  LcClaimHold hold = { 0 };
+  LcClaimRecord hold = { 0 };
   LcClaimReply reply = { .home = node->agent.desc.self,
                          .key = event->claim.key,
                          .sequence = event->claim.sequence,
                          .era = event->claim.era };
   LcEvent *back;
 
-  reply.result = lc_request_agent_claim (&node->agent, event->claim.home.instance, event->claim.key,
-                                         event->claim.owner, event->claim.sequence,
-                                         event->claim.era, event->claim.keep_us, l->now_us, &hold);
+  reply.result = lc_request_agent_handle_claim (
+      &node->agent, event->claim.home.instance, event->claim.key, event->claim.owner,
+      event->claim.sequence, event->claim.era, event->claim.keep_us, l->now_us, &hold);
   reply.holder = hold.owner;
   reply.lost_for_us =
-      lc_claim_era_lost_for_us (&node->agent.claim_sync, event->claim.key, l->now_us);
+      lc_claim_sync_key_unavailable_us (&node->agent.claim_sync, event->claim.key, l->now_us);
   back = lc_lychee__message (l, LC_EV_CLAIM_REPLY, event->to, event->from);
   if (back != NULL)
     back->reply = reply;
 }
 
 static void
-lc_lychee__add_hold (void *user, const LcClaimHold *hold)
+lc_lychee__add_hold (void *user, const LcClaimRecord *hold)
 {
   g_array_append_vals (user, hold, 1);
 }
@@ -106,14 +106,14 @@
   LcNode *node = &l->nodes[event->to];
   LcEvent *back = lc_lychee__message (l, LC_EV_READ_ANSWER, event->to, event->from);
 
-  LcClaimSource sources[LC_CLAIM_ERA_MAX_SELVES] = { 0 };
+  LcClaimSource sources[LC_CLAIM_SYNC_MAX_INCARNATIONS] = { 0 };
 
   if (back == NULL)
     return;
-  back->read.holds = g_array_new (FALSE, FALSE, sizeof (LcClaimHold));
-  (void)lc_request_agent_sources (&node->agent, event->read.era, l->now_us, sources);
+  back->read.holds = g_array_new (FALSE, FALSE, sizeof (LcClaimRecord));
+  (void)lc_request_agent_list_sources (&node->agent, event->read.era, l->now_us, sources);
   back->read.source = sources[0]; /* no agent of the bench resumes */
-  lc_request_agent_records (
+  lc_request_agent_foreach_record (
       &node->agent, event->read.reader, (const LcMemberRef *)(void *)event->read.members->data,
       event->read.members->len, l->now_us, lc_lychee__add_hold, back->read.holds);
 }
@@ -124,8 +124,9 @@
   LcNode *node = &l->nodes[event->to];
 
   for (guint i = 0; i < event->read.holds->len; i++)
-    lc_request_agent_record (&node->agent, &g_array_index (event->read.holds, LcClaimHold, i));
-  lc_request_agent_read_done (&node->agent, &event->read.source, l->now_us);
+    lc_request_agent_merge_record (&node->agent,
+                                   &g_array_index (event->read.holds, LcClaimRecord, i));
+  lc_request_agent_add_source (&node->agent, &event->read.source, l->now_us);
   lc_lychee__act_agent (l, event->to);
 }
 
@@ -163,10 +164,10 @@
         {
           LcPickReport report = lc_lychee__report (&l->nodes[p]);
 
-          lc_request_balancer_report (&l->nodes[b].balancer, l->nodes[p].instance, &report,
-                                      l->now_us);
-          lc_request_balancer_reachable (&l->nodes[b].balancer, l->nodes[p].instance, true,
-                                         l->now_us);
+          lc_request_balancer_handle_report (&l->nodes[b].balancer, l->nodes[p].instance, &report,
+                                             l->now_us);
+          lc_request_balancer_set_reachable (&l->nodes[b].balancer, l->nodes[p].instance, true,
+                                             l->now_us);
         }
   if (l->now_us < l->sim->end_us + 2 * LC_SIM_DEADLINE_US)
     (void)lc_lychee__push (l, LC_EV_REPORT, LC_LYCHEE_BALANCER, l->now_us + LC_US_PER_S);
@@ -214,7 +215,7 @@
       lc_lychee__on_attempt (l, event);
       break;
     case LC_EV_CANCEL:
-      lc_request_agent_cancel (&node->agent, &event->ask, l->now_us);
+      lc_request_agent_handle_cancel (&node->agent, &event->ask, l->now_us);
       lc_lychee__act_agent (l, event->to);
       break;
     case LC_EV_ANSWER:
@@ -224,19 +225,19 @@
       lc_lychee__on_refuse (l, event);
       break;
     case LC_EV_LINK_DOWN:
-      lc_request_balancer_link_down (&node->balancer, event->link_id, l->now_us);
+      lc_request_balancer_handle_link_down (&node->balancer, event->link_id, l->now_us);
       lc_lychee__act_balancer (l, event->to);
       break;
     case LC_EV_CLAIM:
       lc_lychee__on_claim (l, event);
       break;
     case LC_EV_CLAIM_REPLY:
-      lc_request_agent_claim_reply (&node->agent, &event->reply, l->now_us);
+      lc_request_agent_handle_claim_reply (&node->agent, &event->reply, l->now_us);
       lc_lychee__act_agent (l, event->to);
       break;
     case LC_EV_RELEASE:
-      lc_request_agent_release (&node->agent, event->claim.key, event->claim.owner.instance,
-                                event->claim.sequence);
+      lc_request_agent_handle_release (&node->agent, event->claim.key, event->claim.owner.instance,
+                                       event->claim.sequence);
       break;
     case LC_EV_READ:
       lc_lychee__on_read (l, event);
--- a/bench/lc-scale-member.c
+++ b/bench/lc-scale-member.c
@@ -1,7 +1,7 @@
 /* Leases, reports, folds, settling and the guard, against what each role holds. */
 #include "lc-scale.h"
 
-#include "core/member/lc-guard.h"
+#include "core/member/lc-loss-guard.h"
 #include "core/member/lc-settle.h"
 #include "core/member/lc-watch.h"
 
@@ -165,12 +165,12 @@
 static double
 lc_scale_member__guard (const LcView *view, uint32_t n)
 {
-  LcGuardDesc desc = { 0 };
-  LcGuard guard;
+  LcLossGuardDesc desc = { 0 };
+  LcLossGuard guard;
   uint32_t n_checked = 0;
   double began_us;
 
-  lc_guard_init (&guard, &desc);
+  lc_loss_guard_init (&guard, &desc);
   began_us = lc_scale_cpu_us ();
   for (uint32_t i = 1; i <= n; i++)
     {
@@ -179,10 +179,10 @@
 
       if (e->dc != 1 || i % 8 != 0)
         continue;
-      (void)lc_guard_check (&guard, view, &change, LC_US_PER_S + n_checked++);
+      (void)lc_loss_guard_check (&guard, view, &change, LC_US_PER_S + n_checked++);
     }
   began_us = lc_scale_cpu_us () - began_us;
-  lc_guard_finish (&guard);
+  lc_loss_guard_finish (&guard);
   return began_us / MAX (n_checked, 1);
 }
 
--- a/fuzz/fuzz-claims.c
+++ b/fuzz/fuzz-claims.c
@@ -50,15 +50,15 @@
   LcRequestAgentDesc agent_desc = { .self = { 3, 1003 }, .admission = { .slots = 1 } };
   LcError error = { 0 };
   LcRequestAgent agent;
-  LcClaimEraState state;
+  LcClaimProgress state;
   LcClaimFile file;
 
   lc_request_agent_init (&agent, &agent_desc);
   lc_claim_file_init (&file, &desc);
   if (lc_claim_file_load (&file, &agent, 0, &error) != (int)lc_claim_store_size (&agent.store))
     abort ();
-  lc_claim_era_state (&agent.claim_sync, &state);
-  if (state.n_incarnations == 0 || state.n_incarnations > LC_CLAIM_ERA_MAX_SELVES)
+  lc_claim_sync_progress (&agent.claim_sync, &state);
+  if (state.n_incarnations == 0 || state.n_incarnations > LC_CLAIM_SYNC_MAX_INCARNATIONS)
     abort ();
   lc_claim_file_finish (&file);
   lc_request_agent_finish (&agent);
--- a/fuzz/fuzz-control.c
+++ b/fuzz/fuzz-control.c
@@ -75,13 +75,13 @@
 
   while (lc_raft_take_persist (raft, &persist))
     {
-      lc_raft_persisted (raft, persist.sequence, now_us);
+      lc_raft_mark_persisted (raft, persist.sequence, now_us);
       lc_raft_persist_finish (&persist);
     }
   if (lc_raft_take_snapshot (raft, &snapshot))
     lc_raft_snapshot_finish (&snapshot);
   while (lc_raft_next_committed (raft) != NULL)
-    lc_raft_applied (raft);
+    lc_raft_mark_applied (raft);
   while (lc_raft_take_message (raft, &out, now_us))
     lc_raft_message_finish (&out);
 }
--- a/src/agent/lc-agent-attempt.c
+++ b/src/agent/lc-agent-attempt.c
@@ -47,7 +47,7 @@
       return NULL;
     }
   partial = g_new0 (LcPartial, 1);
-  partial->ask = (LcAsk){ link_id, { head->id_hi, head->id_lo }, head->attempt };
+  partial->ask = (LcAttemptId){ link_id, { head->id_hi, head->id_lo }, head->attempt };
   partial->head = head;
   partial->body = g_byte_array_new ();
   return partial;
@@ -180,7 +180,7 @@
 guint
 lc_ask_hash (gconstpointer data)
 {
-  const LcAsk *ask = data;
+  const LcAttemptId *ask = data;
 
   return (guint)(ask->id.lo ^ (ask->id.lo >> 32) ^ ask->attempt ^ (ask->link_id << 8));
 }
@@ -188,8 +188,8 @@
 gboolean
 lc_ask_is_equal (gconstpointer a, gconstpointer b)
 {
-  const LcAsk *x = a;
-  const LcAsk *y = b;
+  const LcAttemptId *x = a;
+  const LcAttemptId *y = b;
 
   return x->link_id == y->link_id && x->attempt == y->attempt && lc_request_id_equal (x->id, y->id);
 }
--- a/src/agent/lc-agent-attempt.h
+++ b/src/agent/lc-agent-attempt.h
@@ -16,7 +16,7 @@
 
 typedef struct
 {
-  LcAsk ask;
+  LcAttemptId ask;
   Lc__Request__AttemptHead *head; /* owned */
   GByteArray *body;
 } LcPartial;
--- a/src/agent/lc-agent-claims.c
+++ b/src/agent/lc-agent-claims.c
@@ -73,7 +73,7 @@
 }
 
 void
-lc_agent_request__keep_claim (LcAgentRequest *plane, const LcClaimHold *hold)
+lc_agent_request__keep_claim (LcAgentRequest *plane, const LcClaimRecord *hold)
 {
   LcError error = { 0 };
 
@@ -98,7 +98,7 @@
 {
   Lc__Request__Claim *claim = lc__request__claim__unpack (NULL, frame->payload_len, frame->payload);
   Lc__Request__ClaimAnswer answer = LC__REQUEST__CLAIM_ANSWER__INIT;
-  LcClaimHold hold = { 0 };
+  LcClaimRecord hold = { 0 };
   LcRequestKey key;
 
   if (claim == NULL)
@@ -107,7 +107,7 @@
       return;
     }
   key = (LcRequestKey){ claim->key_hi, claim->key_lo };
-  answer.result = lc_request_agent_claim (
+  answer.result = lc_request_agent_handle_claim (
       &plane->core, claim->home_instance, key,
       (LcMemberRef){ claim->owner_id, claim->owner_instance }, claim->sequence, claim->era,
       (int64_t)MIN (claim->keep_us, LC_AGENT_CLAIM_TIME_MAX_US), lc_clock_now_us (), &hold);
@@ -128,8 +128,8 @@
                                          .member = { claim->owner_id, claim->owner_instance } },
                     lc_clock_now_us ());
   if (answer.result == LC_CLAIM_NOT_READY)
-    answer.lost_for_us =
-        (uint64_t)lc_claim_era_lost_for_us (&plane->core.claim_sync, key, lc_clock_now_us ());
+    answer.lost_for_us = (uint64_t)lc_claim_sync_key_unavailable_us (&plane->core.claim_sync, key,
+                                                                     lc_clock_now_us ());
   (void)lc_link_send (link, LC_FRAME_CLAIM_ANSWER, &answer.base);
   lc__request__claim__free_unpacked (claim, NULL);
 }
@@ -155,7 +155,7 @@
                           .lost_for_us =
                               (int64_t)MIN (answer->lost_for_us, LC_AGENT_CLAIM_TIME_MAX_US) };
   lc__request__claim_answer__free_unpacked (answer, NULL);
-  lc_request_agent_claim_reply (&plane->core, &reply, lc_clock_now_us ());
+  lc_request_agent_handle_claim_reply (&plane->core, &reply, lc_clock_now_us ());
 }
 
 void
@@ -169,8 +169,8 @@
       lc_agent_request__malformed (plane, frame->type);
       return;
     }
-  lc_request_agent_release (&plane->core, (LcRequestKey){ release->key_hi, release->key_lo },
-                            release->owner_instance, release->sequence);
+  lc_request_agent_handle_release (&plane->core, (LcRequestKey){ release->key_hi, release->key_lo },
+                                   release->owner_instance, release->sequence);
   lc__request__claim_release__free_unpacked (release, NULL);
 }
 
@@ -197,7 +197,7 @@
 }
 
 static void
-lc_agent_request__add_record (void *user, const LcClaimHold *hold)
+lc_agent_request__add_record (void *user, const LcClaimRecord *hold)
 {
   LcReadReply *reply = user;
   Lc__Request__ClaimRecord *record = &reply->records[reply->message.n_records];
@@ -229,14 +229,14 @@
                                const LcMemberRef *members)
 {
   LcMemberRef reader = { read->reader->id, read->reader->instance };
-  LcClaimSource sources[LC_CLAIM_ERA_MAX_SELVES] = { { .member = plane->core.desc.self } };
-  Lc__Request__Member former[LC_CLAIM_ERA_MAX_SELVES];
-  Lc__Request__Member *formers[LC_CLAIM_ERA_MAX_SELVES];
+  LcClaimSource sources[LC_CLAIM_SYNC_MAX_INCARNATIONS] = { { .member = plane->core.desc.self } };
+  Lc__Request__Member former[LC_CLAIM_SYNC_MAX_INCARNATIONS];
+  Lc__Request__Member *formers[LC_CLAIM_SYNC_MAX_INCARNATIONS];
   LcReadReply reply = { .link = link,
                         .message = LC__REQUEST__CLAIM_READ_ANSWER__INIT,
                         .member = LC__REQUEST__MEMBER__INIT,
                         .now_us = lc_clock_now_us () };
-  uint32_t n = lc_request_agent_sources (&plane->core, read->era, reply.now_us, sources);
+  uint32_t n = lc_request_agent_list_sources (&plane->core, read->era, reply.now_us, sources);
 
   lc_agent_request__put_member (&reply.member, sources[0].member);
   reply.message.member = &reply.member;
@@ -254,8 +254,8 @@
   reply.records = g_new (Lc__Request__ClaimRecord, LC_REQUEST_READ_RECORDS);
   reply.list = g_new (Lc__Request__ClaimRecord *, LC_REQUEST_READ_RECORDS);
   reply.message.records = reply.list;
-  lc_request_agent_records (&plane->core, reader, members, (uint32_t)read->n_members, reply.now_us,
-                            lc_agent_request__add_record, &reply);
+  lc_request_agent_foreach_record (&plane->core, reader, members, (uint32_t)read->n_members,
+                                   reply.now_us, lc_agent_request__add_record, &reply);
   lc_agent_request__flush_records (&reply, true);
   g_free (reply.records);
   g_free (reply.list);
@@ -296,11 +296,11 @@
                            answer->member_whole_from,
                            (int64_t)MIN (answer->lost_for_us, LC_AGENT_CLAIM_TIME_MAX_US) };
 
-  lc_request_agent_read_done (&plane->core, &source, now_us);
+  lc_request_agent_add_source (&plane->core, &source, now_us);
   for (size_t i = 0; i < answer->n_former; i++)
     {
       source.member = (LcMemberRef){ answer->former[i]->id, answer->former[i]->instance };
-      lc_request_agent_read_done (&plane->core, &source, now_us);
+      lc_request_agent_add_source (&plane->core, &source, now_us);
     }
 }
 
@@ -321,12 +321,12 @@
   for (size_t i = 0; i < answer->n_records; i++)
     {
       const Lc__Request__ClaimRecord *record = answer->records[i];
-      LcClaimHold hold = { { record->key_hi, record->key_lo },
-                           { record->owner_id, record->owner_instance },
-                           record->sequence,
-                           now_us + (int64_t)MIN (record->left_us, LC_AGENT_CLAIM_TIME_MAX_US) };
+      LcClaimRecord hold = { { record->key_hi, record->key_lo },
+                             { record->owner_id, record->owner_instance },
+                             record->sequence,
+                             now_us + (int64_t)MIN (record->left_us, LC_AGENT_CLAIM_TIME_MAX_US) };
 
-      lc_request_agent_record (&plane->core, &hold);
+      lc_request_agent_merge_record (&plane->core, &hold);
     }
   if (answer->last)
     lc_agent_request__read_done (plane, answer, now_us);
--- a/src/agent/lc-agent-flow-private.h
+++ b/src/agent/lc-agent-flow-private.h
@@ -31,7 +31,7 @@
 /* The backend server's answer: into the histograms, and a line when it is late. */
 void lc_agent_flow__note_answer (LcAgentFlow *plane,
                                  const LcPacket *packet,
-                                 const LcFlowAnswer *answer,
+                                 const LcFlowResponse *answer,
                                  int64_t now_us);
 
 #endif /* LC_AGENT_FLOW_PRIVATE_H */
--- a/src/agent/lc-agent-flow-report.c
+++ b/src/agent/lc-agent-flow-report.c
@@ -112,7 +112,7 @@
 
   lc_flow_meter_bring (&plane->meter);
   lc_metric_set (plane->open_flows, lc_flow_agent_open_flows (&plane->agent));
-  lc_metric_set (plane->at_work, lc_flow_agent_at_work (&plane->agent));
+  lc_metric_set (plane->at_work, lc_flow_agent_unanswered_requests (&plane->agent));
   lc_agent_flow__burn (plane, LC_BURN_FLOW_OPENED, opened);
   lc_agent_flow__burn (plane, LC_BURN_FLOW_ENDED, gone);
   /* Broken flows were another's: their owner is gone and can't count them, so their home does. */
@@ -158,7 +158,7 @@
                           .key = key,
                           .revision = plane->agent.view != NULL ? plane->agent.view->revision : 0,
                           .view_age_us = lc_member_silence_us (plane->desc.member, now_us),
-                          .n_at_work = lc_flow_agent_at_work (&plane->agent) };
+                          .n_at_work = lc_flow_agent_unanswered_requests (&plane->agent) };
 }
 
 void
@@ -232,22 +232,22 @@
 void
 lc_agent_flow__note_answer (LcAgentFlow *plane,
                             const LcPacket *packet,
-                            const LcFlowAnswer *answer,
+                            const LcFlowResponse *answer,
                             int64_t now_us)
 {
   LcFlowKey key;
   LcFlowLogLine line;
 
-  if (answer->kind == LC_FLOW_ANSWER_NONE)
+  if (answer->kind == LC_FLOW_RESPONSE_NONE)
     return;
-  lc_metric_observe_us (answer->kind == LC_FLOW_ANSWER_OPENED ? plane->open_us : plane->answer_us,
+  lc_metric_observe_us (answer->kind == LC_FLOW_RESPONSE_ACCEPT ? plane->open_us : plane->answer_us,
                         answer->elapsed_us);
   if (answer->elapsed_us < (int64_t)plane->desc.settings->late_answer_ms * LC_US_PER_MS)
     return;
   lc_metric_add (plane->late_total, 1);
-  key = lc_flow_return_key (packet);
+  key = lc_flow_return_caller_key (packet);
   line = lc_agent_flow__line (plane, LC_FLOW_LOG_LATE, &key, now_us);
-  line.why = answer->kind == LC_FLOW_ANSWER_OPENED ? "accepted late" : "answered late";
+  line.why = answer->kind == LC_FLOW_RESPONSE_ACCEPT ? "accepted late" : "answered late";
   line.after_us = answer->elapsed_us;
   lc_flow_log (&plane->log, &line, now_us);
 }
--- a/src/agent/lc-agent-flow-start.c
+++ b/src/agent/lc-agent-flow-start.c
@@ -41,7 +41,7 @@
   desc.returns_packets = lc_packet_format_is_returning (lc_agent_flow__format (plane));
   desc.backend_ipv4 = settings->backend_feed.ipv4;
   desc.backend_port = settings->backend_feed.port;
-  desc.cold = (LcColdLimitDesc){ settings->cold_overshoot_permille, settings->cold_slack };
+  desc.cold = (LcWarmupLimitDesc){ settings->cold_overshoot_permille, settings->cold_slack };
   desc.assign.ramp_us = (int64_t)settings->ramp_ms * LC_US_PER_MS;
   if (desc.returns_packets)
     lc_agent_flow__weigh_work (&desc);
@@ -56,8 +56,8 @@
     LcAgentFlow *plane, const LcCandidate *self, LcServiceId service_id, LcDcId dc, int64_t now_us)
 {
   LcFlowAgentDesc desc = lc_agent_flow__agent_desc (plane);
-  LcColdLimit firsts = plane->agent.first_packets;
-  LcColdLimit requests = plane->agent.gate.cold;
+  LcWarmupLimit firsts = plane->agent.first_packets;
+  LcWarmupLimit requests = plane->agent.gate.cold;
   bool goes_on = plane->has_agent;
 
   if (plane->has_agent)
@@ -99,7 +99,8 @@
   self = (LcCandidate){ e->id, e->ipv4, e->instance, e->flow_port };
   if (plane->has_agent && plane->agent.desc.service_id == e->service_id &&
       plane->agent.desc.self.id == e->id && e->instance == plane->started)
-    lc_flow_agent_rename (&plane->agent, &self); /* begun when its backend server reported itself */
+    lc_flow_agent_set_identity (&plane->agent,
+                                &self); /* begun when its backend server reported itself */
   else if (e->instance == lc_member_instance (plane->desc.member) ||
            (!plane->has_agent && plane->started != 0))
     lc_agent_flow__begin (plane, &self, e->service_id, e->dc, now_us);
@@ -130,7 +131,7 @@
     return;
   if (plane->agent.desc.self.instance == instance)
     {
-      lc_flow_agent_stay (&plane->agent);
+      lc_flow_agent_cancel_leave (&plane->agent);
       return;
     }
   self = plane->agent.desc.self;
@@ -150,7 +151,7 @@
 }
 
 void
-lc_agent_flow_set_backend (LcAgentFlow *plane, LcFlowBackend backend)
+lc_agent_flow_set_backend (LcAgentFlow *plane, LcFlowBackendState backend)
 {
   static const char *const NAMES[] = { "open", "asked", "none" };
 
--- a/src/agent/lc-agent-flow.c
+++ b/src/agent/lc-agent-flow.c
@@ -96,7 +96,7 @@
 
       for (uint32_t i = 0; kept != NULL && i < next.n; i++)
         {
-          lc_flow_return_search (&plane->agent, &next.to[i], &envelope);
+          lc_flow_return_fill_search_envelope (&plane->agent, &next.to[i], &envelope);
           (void)lc_datagram_send (&plane->port, next.to[i].ipv4, next.to[i].port, header,
                                   lc_envelope_encode (&envelope, header, sizeof header),
                                   kept->bytes, kept->len);
@@ -117,7 +117,7 @@
   lc_agent_flow__give_held (plane, now_us);
   lc_agent_flow__send_resets (plane, now_us);
   (void)lc_agent_flow__try_searched (plane, now_us);
-  while (lc_flow_agent_next (&plane->agent, &message, now_us))
+  while (lc_flow_agent_next_message (&plane->agent, &message, now_us))
     {
       size_t len = lc_flow_wire_write (&message, bytes, sizeof bytes);
 
@@ -271,7 +271,7 @@
       return;
     }
   lc_member_note_revision (plane->desc.member, envelope.revision);
-  action = lc_flow_agent_packet (&plane->agent, &envelope, &packet, now_us);
+  action = lc_flow_agent_handle_packet (&plane->agent, &envelope, &packet, now_us);
   lc_agent_flow__act (plane, &action, &envelope, bytes + start, &packet, now_us);
 }
 
@@ -289,7 +289,7 @@
   if (!plane->has_agent)
     return;
   lc_agent_flow__log_returned (plane, packet, now_us);
-  action = lc_flow_return_returned (&plane->agent, &envelope, packet, now_us);
+  action = lc_flow_return_handle_returned (&plane->agent, &envelope, packet, now_us);
   lc_agent_flow__act (plane, &action, &envelope, bytes, packet, now_us);
 }
 
@@ -298,7 +298,7 @@
 {
   LcAgentFlow *plane = user;
   int64_t now_us = lc_clock_now_us ();
-  LcFlowAnswer answer;
+  LcFlowResponse answer;
   LcPacket packet;
 
   (void)port;
@@ -314,7 +314,7 @@
     }
   if (plane->has_agent)
     {
-      answer = lc_flow_return_answered (&plane->agent, &packet, now_us);
+      answer = lc_flow_return_handle_response (&plane->agent, &packet, now_us);
       lc_agent_flow__note_answer (plane, &packet, &answer, now_us);
     }
   lc_agent_flow__send_to_caller (plane, packet.key.target_ipv4, bytes, len);
@@ -346,7 +346,7 @@
       else
         {
           lc_member_note_revision (plane->desc.member, message.load.revision);
-          lc_flow_agent_message (&plane->agent, &message, now_us);
+          lc_flow_agent_handle_message (&plane->agent, &message, now_us);
         }
       break;
     default:
@@ -397,7 +397,7 @@
       lc_flow_agent_hand_over (&plane->agent);
     }
   if (plane->agent.is_handing_over && plane->agent.table.n_owned > 0 &&
-      !lc_flow_agent_has_heir (&plane->agent) && !plane->has_given_up)
+      !lc_flow_agent_has_successor (&plane->agent) && !plane->has_given_up)
     {
       plane->has_given_up = true;
       LC_WARN ("flow.cut", "flows", LC_U64 (plane->agent.table.n_owned), "remedy",
@@ -475,7 +475,8 @@
   memset (plane, 0, sizeof *plane);
   plane->desc = *desc;
   plane->log.is_shared = desc->settings->has_requests;
-  plane->backend = desc->settings->report_port == 0 ? LC_FLOW_BACKEND_OPEN : LC_FLOW_BACKEND_NONE;
+  plane->backend =
+      desc->settings->report_port == 0 ? LC_FLOW_BACKEND_OPEN : LC_FLOW_BACKEND_UNAVAILABLE;
   r = lc_agent_flow__open (plane, error);
   if (r < 0)
     return r;
--- a/src/agent/lc-agent-flow.h
+++ b/src/agent/lc-agent-flow.h
@@ -55,7 +55,7 @@
   LcMetric *late_total;
   LcFlowLog log;
   bool is_draining;
-  LcFlowBackend backend;
+  LcFlowBackendState backend;
   bool is_leaving;    /* the backend server takes nothing new */
   bool is_fresh;      /* it began under this process, which knows all its flows */
   bool is_cold;       /* its service's rate for cold ones holds */
@@ -85,12 +85,12 @@
 void lc_agent_flow_leave (LcAgentFlow *plane);
 /* The backend server has started as this instance: unless that is the one known, nothing is left of
  * the flows and requests before it, of its failures, or of its leaving.  `is_new`: nothing but this
- * process can have given it flows (lc_backend_report_is_of_new). */
+ * process can have given it flows (lc_backend_report_is_new_start). */
 void lc_agent_flow_backend_started (LcAgentFlow *plane, LcInstance instance, bool is_new);
 /* Whether the backend server is cold still, or may be. */
 void lc_agent_flow_set_cold (LcAgentFlow *plane, bool is_cold);
 /* What the backend server has reported of itself. */
-void lc_agent_flow_set_backend (LcAgentFlow *plane, LcFlowBackend backend);
+void lc_agent_flow_set_backend (LcAgentFlow *plane, LcFlowBackendState backend);
 /* The newest view revision with whose homes every owned flow is registered; 0: none yet. */
 LcRevision lc_agent_flow_registered (const LcAgentFlow *plane);
 
--- a/src/agent/lc-agent-inject.c
+++ b/src/agent/lc-agent-inject.c
@@ -38,7 +38,7 @@
   struct sockaddr_in to = { .sin_family = AF_INET };
 
   to.sin_addr.s_addr = htonl (backend_ipv4);
-  lc_packet_retarget (bytes, packet, backend_ipv4, backend_port);
+  lc_dnat_rewrite (bytes, packet, backend_ipv4, backend_port);
   if (sendto (inject->fd, bytes, packet->total_len, MSG_DONTWAIT, (struct sockaddr *)&to,
               sizeof to) < 0)
     inject->failed_total++;
--- a/src/agent/lc-agent-inject.h
+++ b/src/agent/lc-agent-inject.h
@@ -12,7 +12,7 @@
 #ifndef LC_AGENT_INJECT_H
 #define LC_AGENT_INJECT_H
 
-#include "core/flow/lc-retarget.h"
+#include "core/flow/lc-dnat.h"
 
 typedef struct
 {
--- a/src/agent/lc-agent-report.c
+++ b/src/agent/lc-agent-report.c
@@ -22,7 +22,7 @@
 }
 
 static void
-lc_agent_report__log (const LcBackendReport *r, LcBackendNews news)
+lc_agent_report__log (const LcBackendReport *r, LcBackendUpdate news)
 {
   LC_INFO (news == LC_BACKEND_STARTED ? "backend.started" : "backend.changed", "backend",
            LC_STR (r->id), "state", LC_STR (lc_agent_report__state_name (r->state)), "sequence",
@@ -33,14 +33,14 @@
 static void
 lc_agent_report__take (LcAgentReport *self, const LcBackendReport *r)
 {
-  LcBackendNews news = lc_backend_status_take (&self->status, r, lc_clock_now_us ());
+  LcBackendUpdate news = lc_backend_status_apply (&self->status, r, lc_clock_now_us ());
 
   lc_metric_add (self->reports_total, 1);
   switch (news)
     {
-    case LC_BACKEND_SAME:
+    case LC_BACKEND_UNCHANGED:
       break;
-    case LC_BACKEND_LATE:
+    case LC_BACKEND_STALE:
       lc_metric_add (self->late_total, 1);
       break;
     case LC_BACKEND_STARTED:
--- a/src/agent/lc-agent-report.h
+++ b/src/agent/lc-agent-report.h
@@ -8,7 +8,7 @@
  * HOW TO USE IT
  *     LcAgentReportDesc desc = { .app = &app, .settings = &settings, .user = me, .news = on_news };
  *     lc_agent_report_init (&report, &desc, &error);
- *     lc_backend_status_is_open (&report.status, now_us)
+ *     lc_backend_status_is_available (&report.status, now_us)
  *     lc_agent_report_finish (&report);
  *
  * THREADS
@@ -28,7 +28,7 @@
   const LcAgentSettings *settings;
   void *user;
   /* LC_BACKEND_STARTED or LC_BACKEND_CHANGED; called before the report is answered. */
-  void (*news) (void *user, LcBackendNews news, const LcBackendReport *report);
+  void (*news) (void *user, LcBackendUpdate news, const LcBackendReport *report);
 } LcAgentReportDesc;
 
 typedef struct
--- a/src/agent/lc-agent-request-private.h
+++ b/src/agent/lc-agent-request-private.h
@@ -37,7 +37,7 @@
 void lc_agent_request__act (LcAgentRequest *plane);
 int lc_agent_request__open_claims (LcAgentRequest *plane, LcError *error);
 void lc_agent_request__close_claims (LcAgentRequest *plane);
-void lc_agent_request__keep_claim (LcAgentRequest *plane, const LcClaimHold *hold);
+void lc_agent_request__keep_claim (LcAgentRequest *plane, const LcClaimRecord *hold);
 void lc_agent_request__settle_claims (LcAgentRequest *plane, int64_t now_us);
 void lc_agent_request__know_link (LcAgentRequest *plane, LcLink *link);
 const LcService *lc_agent_request__service (const LcAgentRequest *plane);
--- a/src/agent/lc-agent-request.c
+++ b/src/agent/lc-agent-request.c
@@ -31,7 +31,7 @@
 }
 
 static const char *
-lc_agent_request__end_name (LcRunEnd how)
+lc_agent_request__end_name (LcRunResult how)
 {
   switch (how)
     {
@@ -93,14 +93,14 @@
 /* === private: the end of calls ============================================================== */
 
 static void
-lc_agent_request__on_end (void *user, LcRunEnd how, LcAnswer *answer)
+lc_agent_request__on_end (void *user, LcRunResult how, LcAnswer *answer)
 {
   LcAgentCall *call = user;
   LcAgentRequest *plane = call->plane;
 
   call->call = NULL;
   lc_agent_request__log_end (plane, call, lc_agent_request__end_name (how));
-  lc_request_agent_ended (&plane->core, call->run_id, how, answer, lc_clock_now_us ());
+  lc_request_agent_end_run (&plane->core, call->run_id, how, answer, lc_clock_now_us ());
   lc_answer_unref (answer);
   lc_agent_request__act (plane);
 }
@@ -116,7 +116,7 @@
 
   if (call == NULL)
     {
-      lc_request_agent_ended (&plane->core, run_id, LC_RUN_NOT_SENT, NULL, now_us);
+      lc_request_agent_end_run (&plane->core, run_id, LC_RUN_NOT_SENT, NULL, now_us);
       return;
     }
   method = call->payload->head->method;
@@ -151,7 +151,7 @@
     case LC_AGENT_STOP:
       lc_agent_request__stop (plane, action->run_id);
       break;
-    case LC_AGENT_FORGET:
+    case LC_AGENT_DROP_PAYLOAD:
       g_hash_table_remove (plane->runs, &action->run_id);
       break;
     case LC_AGENT_ANSWER:
@@ -166,13 +166,13 @@
     case LC_AGENT_RELEASE:
       lc_agent_request__send_release (plane, action, now_us);
       break;
-    case LC_AGENT_READ:
+    case LC_AGENT_READ_CLAIMS:
       lc_agent_request__send_read (plane, action, now_us);
       break;
-    case LC_AGENT_HELD_UP:
+    case LC_AGENT_CLAIM_DELAYED:
       lc_agent_request__log_held_up (plane, action, now_us);
       break;
-    case LC_AGENT_KEEP:
+    case LC_AGENT_PERSIST:
       lc_agent_request__keep_claim (plane, &action->persist);
       break;
     }
@@ -187,7 +187,7 @@
   if (plane->is_busy)
     return;
   plane->is_busy = true;
-  while (lc_request_agent_take (&plane->core, &action))
+  while (lc_request_agent_next_action (&plane->core, &action))
     {
       lc_agent_request__act_one (plane, &action, lc_clock_now_us ());
       lc_agent_action_clear (&action);
@@ -199,7 +199,7 @@
 /* === private: attempts in =================================================================== */
 
 static void
-lc_agent_request__refuse_malformed (LcAgentRequest *plane, const LcAsk *ask)
+lc_agent_request__refuse_malformed (LcAgentRequest *plane, const LcAttemptId *ask)
 {
   LcAgentAction action = { .kind = LC_AGENT_REFUSE };
 
@@ -225,7 +225,7 @@
       lc_partial_free (partial);
       return;
     }
-  run_id = lc_request_agent_attempt (&plane->core, &attempt, now_us);
+  run_id = lc_request_agent_handle_attempt (&plane->core, &attempt, now_us);
   if (run_id == 0)
     {
       if (plane->core.actions->len == n_actions)
@@ -246,7 +246,7 @@
 {
   Lc__Request__AttemptHead *head =
       lc__request__attempt_head__unpack (NULL, frame->payload_len, frame->payload);
-  LcAsk ask = { .link_id = lc_link_id (link) };
+  LcAttemptId ask = { .link_id = lc_link_id (link) };
   LcPartial *partial;
 
   if (head == NULL)
@@ -280,7 +280,7 @@
 {
   Lc__Request__AttemptBody *part =
       lc__request__attempt_body__unpack (NULL, frame->payload_len, frame->payload);
-  LcAsk ask = { .link_id = lc_link_id (link) };
+  LcAttemptId ask = { .link_id = lc_link_id (link) };
   LcPartial *partial;
   bool is_good;
 
@@ -312,7 +312,7 @@
 {
   Lc__Request__Cancel *cancel =
       lc__request__cancel__unpack (NULL, frame->payload_len, frame->payload);
-  LcAsk ask = { .link_id = lc_link_id (link) };
+  LcAttemptId ask = { .link_id = lc_link_id (link) };
   LcPartial *partial;
 
   if (cancel == NULL)
@@ -329,7 +329,7 @@
       plane->partial_bytes -= partial->head->body_length;
       g_hash_table_remove (plane->partial, &ask);
     }
-  lc_request_agent_cancel (&plane->core, &ask, lc_clock_now_us ());
+  lc_request_agent_handle_cancel (&plane->core, &ask, lc_clock_now_us ());
 }
 
 /* === private: time ========================================================================== */
@@ -460,8 +460,8 @@
   const LcEndpoint *self = lc_member_endpoint (plane->desc.member);
   bool is_self = self != NULL && self->instance == plane->desc.instance;
 
-  lc_request_agent_view (&plane->core, lc_agent_request__service (plane), is_self ? self->id : 0,
-                         lc_clock_now_us ());
+  lc_request_agent_set_service (&plane->core, lc_agent_request__service (plane),
+                                is_self ? self->id : 0, lc_clock_now_us ());
   lc_request_agent_set_evacuated (&plane->core,
                                   self != NULL && lc_view_is_evacuated (view, self->dc));
   lc_agent_request__act (plane);
@@ -520,14 +520,15 @@
   if (!g_hash_table_remove (plane->links, &id))
     return;
   g_hash_table_foreach_remove (plane->partial, lc_agent_request__is_of_link, user);
-  lc_request_agent_link_down (&plane->core, id, lc_clock_now_us ());
+  lc_request_agent_handle_link_down (&plane->core, id, lc_clock_now_us ());
   lc_agent_request__act (plane);
 }
 
 LcRevision
 lc_agent_request_registered (const LcAgentRequest *plane)
 {
-  return lc_request_agent_registered (&plane->core, lc_member_view (plane->desc.member)->revision);
+  return lc_request_agent_synced_revision (&plane->core,
+                                           lc_member_view (plane->desc.member)->revision);
 }
 
 void
--- a/src/agent/lc-agent-send.c
+++ b/src/agent/lc-agent-send.c
@@ -101,7 +101,7 @@
 }
 
 static int
-lc_agent_request__send_part (LcLink *link, const LcAsk *ask, GBytes *body, size_t offset)
+lc_agent_request__send_part (LcLink *link, const LcAttemptId *ask, GBytes *body, size_t offset)
 {
   Lc__Request__AnswerBody part = LC__REQUEST__ANSWER_BODY__INIT;
   gsize len;
@@ -149,7 +149,7 @@
 void
 lc_agent_request__send_answer (LcAgentRequest *plane, const LcAgentAction *action)
 {
-  const LcAsk *ask = &action->answer.attempt_id;
+  const LcAttemptId *ask = &action->answer.attempt_id;
   LcLink *link = lc_agent_request__link (plane, ask->link_id);
   size_t len = g_bytes_get_size (action->answer.answer->body);
   int r;
@@ -206,7 +206,7 @@
   message.sequence = action->claim.sequence;
   message.keep_us = (uint64_t)action->claim.keep_us;
   if (lc_link_send (link, LC_FRAME_CLAIM, &message.base) < 0)
-    lc_request_agent_claim_reply (&plane->core, &reply, now_us);
+    lc_request_agent_handle_claim_reply (&plane->core, &reply, now_us);
 }
 
 void
@@ -225,7 +225,8 @@
 void
 lc_agent_request__send_read (LcAgentRequest *plane, const LcAgentAction *action, int64_t now_us)
 {
-  const LcClaimSet *set = lc_claim_era_find (&plane->core.claim_sync, action->read.era);
+  const LcClaimMembers *set =
+      lc_claim_sync_find_members (&plane->core.claim_sync, action->read.era);
   LcLink *link = lc_agent_request__member_link (plane, action->read.member, now_us);
   Lc__Request__ClaimRead message = LC__REQUEST__CLAIM_READ__INIT;
   Lc__Request__Member self = LC__REQUEST__MEMBER__INIT;
--- a/src/agent/lc-backend-client.c
+++ b/src/agent/lc-backend-client.c
@@ -41,7 +41,7 @@
 }
 
 static void
-lc_backend_call__end (LcBackendCall *call, LcRunEnd how)
+lc_backend_call__end (LcBackendCall *call, LcRunResult how)
 {
   LcAnswer *answer = NULL;
 
--- a/src/agent/lc-backend-client.h
+++ b/src/agent/lc-backend-client.h
@@ -44,7 +44,7 @@
 typedef struct LcBackendCall LcBackendCall;
 
 /* `answer` counts with LC_RUN_OK and belongs to the callback. */
-typedef void (*LcBackendEnd) (void *user, LcRunEnd how, LcAnswer *answer);
+typedef void (*LcBackendEnd) (void *user, LcRunResult how, LcAnswer *answer);
 
 void lc_backend_client_init (LcBackendClient *client, const LcBackendClientDesc *desc);
 void lc_backend_client_finish (LcBackendClient *client);
--- a/src/agent/lc-claim-file.c
+++ b/src/agent/lc-claim-file.c
@@ -39,7 +39,7 @@
 }
 
 static void
-lc_claim_file__add_claim (GByteArray *bytes, const LcClaimHold *hold)
+lc_claim_file__add_claim (GByteArray *bytes, const LcClaimRecord *hold)
 {
   Lc__Request__ClaimFileEntry entry = LC__REQUEST__CLAIM_FILE_ENTRY__INIT;
   Lc__Request__ClaimRecord record = LC__REQUEST__CLAIM_RECORD__INIT;
@@ -55,12 +55,12 @@
 }
 
 static void
-lc_claim_file__add_state (GByteArray *bytes, const LcClaimEraState *known)
+lc_claim_file__add_state (GByteArray *bytes, const LcClaimProgress *known)
 {
   Lc__Request__ClaimFileEntry entry = LC__REQUEST__CLAIM_FILE_ENTRY__INIT;
   Lc__Request__ClaimFileState state = LC__REQUEST__CLAIM_FILE_STATE__INIT;
-  Lc__Request__Member members[LC_CLAIM_ERA_MAX_SELVES];
-  Lc__Request__Member *selves[LC_CLAIM_ERA_MAX_SELVES];
+  Lc__Request__Member members[LC_CLAIM_SYNC_MAX_INCARNATIONS];
+  Lc__Request__Member *selves[LC_CLAIM_SYNC_MAX_INCARNATIONS];
 
   for (uint32_t i = 0; i < known->n_incarnations; i++)
     {
@@ -98,10 +98,10 @@
 }
 
 static void
-lc_claim_file__take_state (LcClaimEraState *state, const Lc__Request__ClaimFileState *from)
+lc_claim_file__take_state (LcClaimProgress *state, const Lc__Request__ClaimFileState *from)
 {
   memset (state, 0, sizeof *state);
-  state->n_incarnations = (uint32_t)MIN (from->n_selves, (size_t)LC_CLAIM_ERA_MAX_SELVES);
+  state->n_incarnations = (uint32_t)MIN (from->n_selves, (size_t)LC_CLAIM_SYNC_MAX_INCARNATIONS);
   for (uint32_t i = 0; i < state->n_incarnations; i++)
     state->incarnations[i] = (LcMemberRef){ from->selves[i]->id, from->selves[i]->instance };
   state->complete = from->whole;
@@ -109,7 +109,7 @@
 }
 
 static bool
-lc_claim_file__take_entry (const LcFrame *frame, GArray *holds, LcClaimEraState *state)
+lc_claim_file__take_entry (const LcFrame *frame, GArray *holds, LcClaimProgress *state)
 {
   Lc__Request__ClaimFileEntry *entry =
       frame->type == LC_FRAME_CLAIM_FILE_ENTRY
@@ -121,10 +121,10 @@
   if (entry->record != NULL)
     {
       const Lc__Request__ClaimRecord *record = entry->record;
-      LcClaimHold hold = { { record->key_hi, record->key_lo },
-                           { record->owner_id, record->owner_instance },
-                           record->sequence,
-                           entry->expires_us };
+      LcClaimRecord hold = { { record->key_hi, record->key_lo },
+                             { record->owner_id, record->owner_instance },
+                             record->sequence,
+                             entry->expires_us };
 
       g_array_append_val (holds, hold);
     }
@@ -140,7 +140,7 @@
 lc_claim_file__read (const LcClaimFile *file,
                      const GByteArray *bytes,
                      GArray *holds,
-                     LcClaimEraState *state)
+                     LcClaimProgress *state)
 {
   size_t at = 0;
   bool is_head = true;
@@ -194,12 +194,12 @@
   gpointer value;
   int r;
 
-  lc_claim_era_state (&agent->claim_sync, &file->state);
+  lc_claim_sync_progress (&agent->claim_sync, &file->state);
   lc_claim_file__add_head (bytes, &file->desc);
   lc_claim_file__add_state (bytes, &file->state);
   g_hash_table_iter_init (&iter, agent->store.holds);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (((const LcClaimHold *)value)->expires_us > now_us)
+    if (((const LcClaimRecord *)value)->expires_us > now_us)
       lc_claim_file__add_claim (bytes, value);
   /* What an attempt before left behind. */
   (void)file->desc.disk.remove (file->desc.disk.user, LC_CLAIM_FILE_NEW, error);
@@ -248,8 +248,8 @@
 lc_claim_file_load (LcClaimFile *file, LcRequestAgent *agent, int64_t now_us, LcError *error)
 {
   GByteArray *bytes = g_byte_array_new ();
-  GArray *holds = g_array_new (FALSE, FALSE, sizeof (LcClaimHold));
-  LcClaimEraState state = { 0 };
+  GArray *holds = g_array_new (FALSE, FALSE, sizeof (LcClaimRecord));
+  LcClaimProgress state = { 0 };
   int n = 0;
   int r;
 
@@ -257,8 +257,8 @@
       lc_claim_file__read (file, bytes, holds, &state))
     {
       for (guint i = 0; i < holds->len; i++)
-        lc_request_agent_resume_claim (agent, &g_array_index (holds, LcClaimHold, i));
-      lc_request_agent_resume (agent, &state);
+        lc_request_agent_resume_claim (agent, &g_array_index (holds, LcClaimRecord, i));
+      lc_request_agent_resume_progress (agent, &state);
       n = (int)lc_claim_store_size (&agent->store);
     }
   g_array_free (holds, TRUE);
@@ -268,7 +268,7 @@
 }
 
 int
-lc_claim_file_claim (LcClaimFile *file, const LcClaimHold *hold, LcError *error)
+lc_claim_file_claim (LcClaimFile *file, const LcClaimRecord *hold, LcError *error)
 {
   if (!file->is_good)
     return 0;
@@ -282,14 +282,14 @@
                       int64_t now_us,
                       LcError *error)
 {
-  LcClaimEraState state;
+  LcClaimProgress state;
 
   if (!file->is_good && now_us < file->retry_us)
     return 0;
   if (!file->is_good || file->bytes > 2 * file->bytes_anew + LC_CLAIM_FILE_SLACK)
     return lc_claim_file__make_anew (file, agent, now_us, error);
-  lc_claim_era_state (&agent->claim_sync, &state);
-  if (lc_claim_era_state_equal (&state, &file->state))
+  lc_claim_sync_progress (&agent->claim_sync, &state);
+  if (lc_claim_progress_equal (&state, &file->state))
     return 0;
   file->state = state;
   lc_claim_file__add_state (file->unwritten, &state);
--- a/src/agent/lc-claim-file.h
+++ b/src/agent/lc-claim-file.h
@@ -2,7 +2,7 @@
  *
  * WHAT IT IS
  *   A file to which each claim is appended as it is granted, read from another home or released,
- *   and with it how far this agent knows them (LcClaimEraState).  A process that is killed has lost
+ *   and with it how far this agent knows them (LcClaimProgress).  A process that is killed has lost
  *   nothing that it had written: the next one goes on as the member that it was.
  *
  * HOW TO USE IT
@@ -45,7 +45,7 @@
 {
   LcClaimFileDesc desc;
   GByteArray *unwritten; /* entries of the present batch */
-  LcClaimEraState state; /* as written */
+  LcClaimProgress state; /* as written */
   uint64_t bytes;        /* in the file */
   uint64_t bytes_anew;   /* when it was last made anew */
   int64_t retry_us;      /* when to make it anew after an error */
@@ -61,7 +61,7 @@
 int lc_claim_file_load (LcClaimFile *file, LcRequestAgent *agent, int64_t now_us, LcError *error);
 
 /* Appends a claim as it stands.  It is written when this returns 0. */
-int lc_claim_file_claim (LcClaimFile *file, const LcClaimHold *hold, LcError *error);
+int lc_claim_file_claim (LcClaimFile *file, const LcClaimRecord *hold, LcError *error);
 
 /* Appends how far the agent knows claims, if that has changed, and makes the file anew when it has
  * grown or was lost. */
--- a/src/agent/main.c
+++ b/src/agent/main.c
@@ -73,19 +73,19 @@
   lc_member_set_registered (&p->member, MIN (flow, request));
 }
 
-static LcFlowBackend
+static LcFlowBackendState
 lc_agent__backend (const LcAgentProgram *p, int64_t now_us)
 {
   const LcEndpoint *e = lc_member_endpoint (&p->member);
   bool is_candidate = e != NULL && lc_endpoint_is_candidate (e);
 
   if (p->stop_us != 0)
-    return LC_FLOW_BACKEND_NONE;
-  if (lc_backend_status_is_open (&p->report.status, now_us))
+    return LC_FLOW_BACKEND_UNAVAILABLE;
+  if (lc_backend_status_is_available (&p->report.status, now_us))
     return LC_FLOW_BACKEND_OPEN;
-  if (lc_backend_status_may_ask (&p->report.status, is_candidate, now_us))
-    return LC_FLOW_BACKEND_ASKED;
-  return LC_FLOW_BACKEND_NONE;
+  if (lc_backend_status_may_try (&p->report.status, is_candidate, now_us))
+    return LC_FLOW_BACKEND_UNCONFIRMED;
+  return LC_FLOW_BACKEND_UNAVAILABLE;
 }
 
 static void
@@ -113,7 +113,7 @@
 
 /* What a backend server says of leaving is carried out here before it is answered. */
 static void
-lc_agent__on_news (void *user, LcBackendNews news, const LcBackendReport *report)
+lc_agent__on_news (void *user, LcBackendUpdate news, const LcBackendReport *report)
 {
   LcAgentProgram *p = user;
 
@@ -123,7 +123,7 @@
     {
       lc_member_announce (&p->member, instance, (uint8_t)MIN (report->slots, (uint32_t)UINT8_MAX));
       lc_agent_flow_backend_started (&p->flow, instance,
-                                     lc_backend_report_is_of_new (report, p->began_ms));
+                                     lc_backend_report_is_new_start (report, p->began_ms));
     }
   if (report->state != LC_BACKEND_READY)
     {
@@ -139,7 +139,7 @@
   LcAgentProgram *p = user;
 
   if (lc_agent__is_reported (p) && lc_member_resume (&p->member))
-    lc_backend_status_note_named (&p->report.status, lc_member_instance (&p->member));
+    lc_backend_status_set_listed (&p->report.status, lc_member_instance (&p->member));
   lc_agent__note_backend (p);
   lc_agent_flow_view (&p->flow, view, ops, n_ops, is_reset);
   if (p->settings.has_requests)
@@ -217,7 +217,7 @@
 }
 
 static int
-lc_agent__join (LcAgentProgram *p, LcInstance instance, LcError *error)
+lc_agent__join_run (LcAgentProgram *p, LcInstance instance, LcError *error)
 {
   LcMemberDesc desc = { .app = &p->app,
                         .kind = LC_MEMBER_AGENT,
@@ -280,7 +280,7 @@
     r = lc_agent__start_planes (p, instance, error);
   if (r == 0)
     r = lc_link_server_init (&p->peers, &peers, error);
-  return r < 0 ? r : lc_agent__join (p, instance, error);
+  return r < 0 ? r : lc_agent__join_run (p, instance, error);
 }
 
 int
--- a/src/balancer/lc-balancer-agents.c
+++ b/src/balancer/lc-balancer-agents.c
@@ -51,7 +51,7 @@
                            .limit = load->limit,
                            .service_us = (int64_t)MIN (load->service_us, (uint64_t)INT32_MAX),
                            .is_draining = load->draining };
-  lc_request_balancer_report (&plane->core, load->instance, &report, lc_clock_now_us ());
+  lc_request_balancer_handle_report (&plane->core, load->instance, &report, lc_clock_now_us ());
 }
 
 /* === private: frames from agents ============================================================ */
@@ -77,7 +77,8 @@
   incoming->ref = (LcAttemptRef){ { head->id_hi, head->id_lo }, head->attempt, peer->link_id };
   incoming->head = head;
   incoming->body = g_byte_array_new ();
-  if (head->body_length == 0 || !lc_request_balancer_is_open (&plane->core, &incoming->ref) ||
+  if (head->body_length == 0 ||
+      !lc_request_balancer_is_attempt_open (&plane->core, &incoming->ref) ||
       plane->incoming_bytes + head->body_length > LC_BALANCER_MAX_INCOMING_BYTES)
     {
       lc_balancer_request__end_incoming (plane, incoming);
@@ -154,9 +155,9 @@
                                        .retry_after_us = (int64_t)MIN (refuse->retry_after_us,
                                                                        (uint64_t)INT32_MAX) },
                   lc_clock_now_us ());
-  lc_request_balancer_refused (&plane->core, &ref, &refusal,
-                               (int64_t)MIN (refuse->retry_after_us, (uint64_t)INT32_MAX),
-                               lc_clock_now_us ());
+  lc_request_balancer_handle_refusal (&plane->core, &ref, &refusal,
+                                      (int64_t)MIN (refuse->retry_after_us, (uint64_t)INT32_MAX),
+                                      lc_clock_now_us ());
   lc__request__refuse__free_unpacked (refuse, NULL);
 }
 
@@ -218,8 +219,8 @@
       lc_balancer_request__endpoint (peer, lc_member_view (peer->plane->desc.member));
 
   if (e != NULL)
-    lc_request_balancer_reachable (&peer->plane->core, e->instance, is_reachable,
-                                   lc_clock_now_us ());
+    lc_request_balancer_set_reachable (&peer->plane->core, e->instance, is_reachable,
+                                       lc_clock_now_us ());
 }
 
 static void
@@ -253,7 +254,7 @@
   g_hash_table_foreach_remove (peer->plane->incoming, lc_balancer_request__is_of_link, peer);
   peer->link_id = 0;
   lc_balancer_request__set_reachable (peer, false);
-  lc_request_balancer_link_down (&peer->plane->core, link_id, lc_clock_now_us ());
+  lc_request_balancer_handle_link_down (&peer->plane->core, link_id, lc_clock_now_us ());
   lc_balancer_request__act (peer->plane);
 }
 
--- a/src/balancer/lc-balancer-flow.c
+++ b/src/balancer/lc-balancer-flow.c
@@ -93,7 +93,7 @@
   if (lc_packet_is_first (packet))
     lc_balancer_flow__log_steered (plane, packet, &to);
   if (plane->balancer.is_returning)
-    lc_reach_used (&plane->reach, &to, lc_clock_now_us ());
+    lc_probe_detector_record_use (&plane->reach, &to, lc_clock_now_us ());
   (void)lc_datagram_send (&plane->port, to.ipv4, to.port, header,
                           lc_envelope_encode (&envelope, header, sizeof header), bytes,
                           packet->total_len);
@@ -119,7 +119,7 @@
   else if (lc_balancer_flow__has_view (plane))
     lc_balancer_flow__steer (plane, bytes, &packet);
   else
-    lc_packet_hold_put (&plane->hold, bytes, len, lc_clock_now_us ());
+    lc_packet_buffer_put (&plane->hold, bytes, len, lc_clock_now_us ());
 }
 
 /* What came before the first view is steered by it. */
@@ -128,11 +128,11 @@
 {
   uint64_t n_held = plane->hold.held_total;
   uint32_t n_late = 0;
-  LcHeldPacket *held;
+  LcBufferedPacket *held;
 
   if (plane->hold.packets == NULL || !lc_balancer_flow__has_view (plane))
     return;
-  while ((held = lc_packet_hold_next (&plane->hold, lc_clock_now_us ())) != NULL)
+  while ((held = lc_packet_buffer_take (&plane->hold, lc_clock_now_us ())) != NULL)
     {
       lc_balancer_flow__take_packet (plane, held->bytes, held->len, 0, 0);
       n_late++;
@@ -148,7 +148,7 @@
   LcBalancerFlow *plane = user;
 
   if (lc_envelope_kind (bytes, len) == LC_ENVELOPE_PROBE_ANSWER)
-    lc_reach_answered (&plane->reach, ipv4, port, lc_clock_now_us ());
+    lc_probe_detector_record_answer (&plane->reach, ipv4, port, lc_clock_now_us ());
   else
     lc_balancer_flow__take_packet (plane, bytes, len, ipv4, port);
 }
@@ -177,9 +177,9 @@
 static void
 lc_balancer_flow__note_reach (LcBalancerFlow *plane, int64_t now_us)
 {
-  LcReachChange change;
+  LcProbeDetectorChange change;
 
-  while (lc_reach_next_change (&plane->reach, now_us, &change))
+  while (lc_probe_detector_next_change (&plane->reach, now_us, &change))
     if (lc_log_allow (&plane->reach_limit, now_us, LC_BALANCER_FLOW_REACH_LOG_PER_S))
       LC_INFO (change.is_suspect ? "agent.suspect" : "agent.answers", "ipv4",
                LC_U64 (change.address.ipv4), "port", LC_U64 (change.address.port), "silent_ms",
@@ -191,8 +191,9 @@
 static void
 lc_balancer_flow__probe (LcBalancerFlow *plane, int64_t now_us)
 {
-  LcReachAddress due[LC_BALANCER_FLOW_PROBES_MAX];
-  uint32_t n = lc_reach_due (&plane->reach, now_us, due, LC_BALANCER_FLOW_PROBES_MAX);
+  LcProbeDetectorAddress due[LC_BALANCER_FLOW_PROBES_MAX];
+  uint32_t n =
+      lc_probe_detector_next_probes (&plane->reach, now_us, due, LC_BALANCER_FLOW_PROBES_MAX);
   uint8_t bytes[LC_ENVELOPE_PREFIX_BYTES];
 
   lc_envelope_encode_prefix (bytes, LC_ENVELOPE_PROBE);
@@ -201,7 +202,7 @@
   lc_datagram_flush (&plane->port);
   lc_flow_balancer_mark_suspects (&plane->balancer, &plane->reach, now_us);
   lc_balancer_flow__note_reach (plane, now_us);
-  lc_balancer_flow__note_alone (plane, lc_reach_is_alone (&plane->reach, now_us));
+  lc_balancer_flow__note_alone (plane, lc_probe_detector_is_isolated (&plane->reach, now_us));
 }
 
 static void
@@ -270,7 +271,7 @@
   plane->desc = *desc;
   plane->log.is_shared = desc->settings->http_port != 0;
   lc_flow_balancer_init (&plane->balancer, 0);
-  lc_reach_init (&plane->reach);
+  lc_probe_detector_init (&plane->reach);
   lc_flow_balancer_set_returning (&plane->balancer,
                                   lc_packet_format_is_returning (lc_balancer_flow__format (plane)));
   r = lc_datagram_init (&plane->port, &port, error);
@@ -288,8 +289,8 @@
   lc_timer_finish (&plane->timer);
   lc_datagram_finish (&plane->port);
   lc_flow_balancer_finish (&plane->balancer);
-  lc_packet_hold_finish (&plane->hold);
-  lc_reach_finish (&plane->reach);
+  lc_packet_buffer_finish (&plane->hold);
+  lc_probe_detector_finish (&plane->reach);
 }
 
 void
--- a/src/balancer/lc-balancer-flow.h
+++ b/src/balancer/lc-balancer-flow.h
@@ -19,7 +19,7 @@
 
 #include "controller/lc-member.h"
 #include "core/flow/lc-flow-balancer.h"
-#include "core/flow/lc-packet-hold.h"
+#include "core/flow/lc-packet-buffer.h"
 #include "io/lc-datagram.h"
 #include "io/lc-flow-log.h"
 #include "io/lc-flow-meter.h"
@@ -39,8 +39,8 @@
   LcBalancerFlowDesc desc;
   LcFlowBalancer balancer;
   LcDatagram port;
-  LcReach reach;
-  LcPacketHold hold;
+  LcProbeDetector reach;
+  LcPacketBuffer hold;
   LcTimer timer;
   LcFlowMeter meter;
   int64_t last_packet_us;
--- a/src/balancer/lc-balancer-request.c
+++ b/src/balancer/lc-balancer-request.c
@@ -41,7 +41,7 @@
     return;
   lc_balancer_request__log (plane, LC_REQUEST_LOG_LEFT, &call->request, (LcRequestLogLine){ 0 });
   g_hash_table_remove (plane->calls, &call->flight_id);
-  lc_request_balancer_gone (&plane->core, call->flight_id, lc_clock_now_us ());
+  lc_request_balancer_cancel (&plane->core, call->flight_id, lc_clock_now_us ());
   call->flight_id = 0;
   lc_balancer_request__act (plane);
 }
@@ -106,9 +106,9 @@
 void
 lc_balancer_request__end_incoming (LcBalancerRequest *plane, LcIncoming *incoming)
 {
-  uint64_t flight_id = lc_request_balancer_answered (&plane->core, &incoming->ref,
-                                                     lc_balancer_request__is_whole (incoming),
-                                                     incoming->head->status, lc_clock_now_us ());
+  uint64_t flight_id = lc_request_balancer_handle_answer (
+      &plane->core, &incoming->ref, lc_balancer_request__is_whole (incoming),
+      incoming->head->status, lc_clock_now_us ());
 
   if (flight_id != 0)
     lc_balancer_request__give (plane, flight_id, incoming);
@@ -129,8 +129,8 @@
   call->request.service = lc_view_service (plane->core.view, call->service_id);
   if (link == NULL || peer->link_id == 0 || call->request.service == NULL)
     {
-      lc_request_balancer_unsent (&plane->core, action->flight_id, action->send.number,
-                                  lc_clock_now_us ());
+      lc_request_balancer_handle_send_failure (&plane->core, action->flight_id, action->send.number,
+                                               lc_clock_now_us ());
       return;
     }
   lc_balancer_request__log (plane, LC_REQUEST_LOG_SENT, &call->request,
@@ -138,7 +138,8 @@
                                                 .service = call->request.service->name,
                                                 .to = { action->send.ipv4, action->send.peer_port },
                                                 .left_us = action->send.left_us });
-  lc_request_balancer_sent (&plane->core, action->flight_id, action->send.number, peer->link_id);
+  lc_request_balancer_handle_sent (&plane->core, action->flight_id, action->send.number,
+                                   peer->link_id);
   /* A link that can't take it all is closed, so the agent never sees a part as the whole. */
   if (lc_caller_send_attempt (link, call->req, &call->request, action) < 0)
     lc_link_close (link, "an attempt could not be sent whole");
@@ -209,7 +210,7 @@
   if (plane->is_busy)
     return;
   plane->is_busy = true;
-  while (lc_request_balancer_take (&plane->core, &action))
+  while (lc_request_balancer_next_action (&plane->core, &action))
     lc_balancer_request__act_one (plane, &action);
   plane->is_busy = false;
 }
@@ -229,7 +230,7 @@
   call->req = req;
   plane->n_calls++;
   lc_caller_read (&call->request, req, lc_clock_now_us ());
-  call->flight_id = lc_request_balancer_start (&plane->core, &call->request, &verdict);
+  call->flight_id = lc_request_balancer_start_request (&plane->core, &call->request, &verdict);
   if (call->flight_id == 0)
     {
       lc_balancer_request__log (plane, LC_REQUEST_LOG_FAILED, &call->request,
@@ -265,7 +266,7 @@
                                 (LcRequestLogLine){ 0 });
       g_hash_table_remove (plane->calls, &flight_id);
       call->flight_id = 0;
-      lc_request_balancer_gone (&plane->core, flight_id, lc_clock_now_us ());
+      lc_request_balancer_cancel (&plane->core, flight_id, lc_clock_now_us ());
       call->req->http1_is_persistent = 0;
       lc_http_answer (call->req, 499, NULL, "", 0);
     }
@@ -391,7 +392,7 @@
     LcBalancerRequest *plane, const LcView *view, const LcViewOp *ops, size_t n_ops, bool is_reset)
 {
   plane->core.desc.own_dc = lc_balancer_request__own_dc (plane, view);
-  lc_request_balancer_view (&plane->core, view, lc_clock_now_us ());
+  lc_request_balancer_set_view (&plane->core, view, lc_clock_now_us ());
   lc_balancer_request__drop_peers (plane, view);
   lc_balancer_request__act (plane);
 }
--- a/src/balancer/lc-caller.c
+++ b/src/balancer/lc-caller.c
@@ -197,7 +197,7 @@
     }
   lc_request_id_text (id, (LcRequestId){ request->key.hi, request->key.lo });
   lc_caller__add (req, "lychee-request-id", id);
-  (void)g_snprintf (path, sizeof path, "%s%s", LC_FILTER_ASK_PREFIX, id);
+  (void)g_snprintf (path, sizeof path, "%s%s", LC_FILTER_QUERY_PREFIX, id);
   lc_caller__add (req, "lychee-ask", path);
 }
 
@@ -262,7 +262,8 @@
                 LcOutcome outcome,
                 int64_t retry_after_us)
 {
-  LcCallerAnswer answer = lc_filter_answer (reason, outcome, retry_after_us, request->is_query);
+  LcCallerAnswer answer =
+      lc_filter_error_answer (reason, outcome, retry_after_us, request->is_query);
 
   lc_caller__add (req, "lychee-outcome", lc_outcome_name (answer.outcome));
   lc_caller__add (req, "lychee-reason", lc_refuse_name (reason));
--- a/src/cli/lc-burn-html.c
+++ b/src/cli/lc-burn-html.c
@@ -282,7 +282,7 @@
   g_string_append_printf (out, " <span class='soft'>objective %.4g%% good</span></h2>", good / 1e4);
   g_string_append (out, "<table><tr><th>where</th><th></th><th>5m</th><th>1h</th><th>30m</th>"
                         "<th>6h</th><th>3d</th><th>budget left</th><th>state</th></tr>");
-  lc_burn_report_make (&report, collect->merge, &row->objective, NULL, collect->now_us);
+  lc_burn_report_compute (&report, collect->merge, &row->objective, NULL, collect->now_us);
   lc_burn__append_row (out, &report, "all", false);
   lc_burn__append_row (out, &report, "all", true);
   for (guint i = 0; i < collect->data_centres->len; i++)
@@ -290,7 +290,7 @@
       const char *name = g_ptr_array_index (collect->data_centres, i);
       LcBurnReport part;
 
-      lc_burn_report_make (&part, collect->merge, &row->objective, name, collect->now_us);
+      lc_burn_report_compute (&part, collect->merge, &row->objective, name, collect->now_us);
       lc_burn__append_row (out, &part, name, false);
       lc_burn__append_row (out, &part, name, true);
     }
--- a/src/cli/lc-burn-text.c
+++ b/src/cli/lc-burn-text.c
@@ -69,7 +69,7 @@
     (void)fprintf (out, ", whole answers within %u ms", row->objective.latency_ms);
   (void)fprintf (out, "\n  %-16s %-9s%8s%8s%8s%8s%8s%12s  %s\n", "burn rate over", "", "5m", "1h",
                  "30m", "6h", "3d", "budget left", "state");
-  lc_burn_report_make (&report, collect->merge, &row->objective, NULL, collect->now_us);
+  lc_burn_report_compute (&report, collect->merge, &row->objective, NULL, collect->now_us);
   lc_burn__print_line (&report, "all", false, out);
   lc_burn__print_line (&report, "all", true, out);
   for (guint i = 0; i < collect->data_centres->len; i++)
@@ -77,7 +77,7 @@
       const char *name = g_ptr_array_index (collect->data_centres, i);
       LcBurnReport part;
 
-      lc_burn_report_make (&part, collect->merge, &row->objective, name, collect->now_us);
+      lc_burn_report_compute (&part, collect->merge, &row->objective, name, collect->now_us);
       lc_burn__print_line (&part, name, false, out);
       lc_burn__print_line (&part, name, true, out);
     }
@@ -119,7 +119,7 @@
 
       if (!lc_burn__is_wanted (row, service))
         continue;
-      lc_burn_report_make (&report, collect->merge, &row->objective, NULL, collect->now_us);
+      lc_burn_report_compute (&report, collect->merge, &row->objective, NULL, collect->now_us);
       if (report.request_urgency >= urgency || report.flow_urgency >= urgency)
         return true;
     }
@@ -149,7 +149,7 @@
   LcBurnReport report;
   json_t *spans = json_array ();
 
-  lc_burn_report_make (&report, collect->merge, &row->objective, data_centre, collect->now_us);
+  lc_burn_report_compute (&report, collect->merge, &row->objective, data_centre, collect->now_us);
   for (int i = 0; i < LC_BURN_SHOWN; i++)
     (void)json_array_append_new (spans, lc_burn__span_json (&report.spans[LC_BURN_SHOWN_SPANS[i]]));
   return json_pack ("{s:s,s:s?,s:s,s:s,s:f,s:f,s:f,s:f,s:o}", "service", row->name, "data_centre",
--- a/src/control/lc-control-codec.c
+++ b/src/control/lc-control-codec.c
@@ -101,7 +101,8 @@
       s->addresses[i].ipv4 = m->addresses[i]->ipv4;
       s->addresses[i].port = (uint16_t)m->addresses[i]->port;
       s->addresses[i].protocol = (uint8_t)m->addresses[i]->protocol;
-      ok = ok && lc_codec__copy (s->addresses[i].homes, LC_HOMES_BYTES, m->addresses[i]->homes);
+      ok = ok &&
+           lc_codec__copy (s->addresses[i].homes, LC_HOME_REGIONS_BYTES, m->addresses[i]->homes);
     }
   s->n_routes = (uint32_t)m->n_routes;
   s->routes = g_new0 (LcDeclaredRoute, m->n_routes);
--- a/src/control/lc-control-http-status.c
+++ b/src/control/lc-control-http-status.c
@@ -88,7 +88,7 @@
 static json_t *
 lc_control_http__guard (const LcControlHttp *http)
 {
-  LcGuardStatus guard = { 0 };
+  LcLossGuardStatus guard = { 0 };
   json_t *out = json_object ();
 
   if (*http->desc.distributor != NULL)
--- a/src/control/lc-control-json-write.c
+++ b/src/control/lc-control-json-write.c
@@ -97,7 +97,7 @@
       (void)json_object_set_new (one, "cold_requests_per_s",
                                  json_real ((double)s->cold_rate_mrps / LC_INTENT_MILLI));
       (void)json_object_set_new (one, "taking",
-                                 json_integer (lc_evacuation_left (&state->view, s, 0)));
+                                 json_integer (lc_evacuation_n_candidates (&state->view, s, 0)));
       for (int state_at = LC_ENDPOINT_JOINING; state_at <= LC_ENDPOINT_LOST; state_at++)
         (void)json_object_set_new (one, LC_ENDPOINT_STATES[state_at],
                                    json_integer (counts[state_at]));
@@ -120,7 +120,7 @@
 
       (void)json_object_set_new (one, "name", json_string (s->name));
       (void)json_object_set_new (one, "taking",
-                                 json_integer (lc_evacuation_left (&state->view, s, 0)));
+                                 json_integer (lc_evacuation_n_candidates (&state->view, s, 0)));
       (void)json_object_set_new (one, "of", json_integer (s->n_endpoints));
       (void)json_array_append_new (out, one);
     }
--- a/src/control/lc-control-json.c
+++ b/src/control/lc-control-json.c
@@ -121,7 +121,10 @@
 }
 
 static int
-lc_json__homes (const json_t *object, const char *path, char homes[LC_HOMES_BYTES], LcError *error)
+lc_json__homes (const json_t *object,
+                const char *path,
+                char homes[LC_HOME_REGIONS_BYTES],
+                LcError *error)
 {
   const json_t *array;
   int r = lc_json__array (object, "homes", path, &array, error);
@@ -130,7 +133,7 @@
     {
       const char *region = json_string_value (json_array_get (array, i));
 
-      r = lc_homes_add (homes, region != NULL ? region : "", error);
+      r = lc_home_regions_add (homes, region != NULL ? region : "", error);
     }
   return r;
 }
--- a/src/control/lc-distributor-duties.c
+++ b/src/control/lc-distributor-duties.c
@@ -157,7 +157,7 @@
         lc_settle_add (&settle, d->desc.view, lease->member.balancer.name, &lease->fold);
     }
   change.settled_revision =
-      lc_settle_end (&settle, d->desc.view, lc_guard_n_excused (&d->guard, now_us));
+      lc_settle_end (&settle, d->desc.view, lc_loss_guard_count_exempt (&d->guard, now_us));
   if (change.settled_revision > 0)
     lc_distributor__propose (d, &change, now_us);
 }
--- a/src/control/lc-distributor-private.h
+++ b/src/control/lc-distributor-private.h
@@ -11,7 +11,7 @@
 
 #include "controller/lc-view-server.h"
 #include "core/member/lc-batch-pace.h"
-#include "core/member/lc-guard.h"
+#include "core/member/lc-loss-guard.h"
 #include "core/member/lc-watch.h"
 
 struct LcDistributor
@@ -19,7 +19,7 @@
   LcDistributorDesc desc;
   LcViewServer server;
   LcWatch watch; /* leases of balancers */
-  LcGuard guard;
+  LcLossGuard guard;
   GHashTable *pending; /* hash of (kind, name, instance) -> time of the proposal */
   GArray *batch;       /* LcMemberChange: proposed together when `batch_pace` says so */
   LcBatchPace batch_pace;
--- a/src/control/lc-distributor-propose.c
+++ b/src/control/lc-distributor-propose.c
@@ -97,7 +97,7 @@
 static void
 lc_distributor__keep_rest (LcDistributor *d, const GArray *batch, guint from, int64_t now_us)
 {
-  bool is_kept = lc_batch_pace_failed (&d->batch_pace, now_us);
+  bool is_kept = lc_batch_pace_should_retry (&d->batch_pace, now_us);
 
   for (guint i = from; i < batch->len; i++)
     {
@@ -126,7 +126,7 @@
   if (n_sent < batch->len)
     lc_distributor__keep_rest (d, batch, n_sent, now_us);
   else
-    lc_batch_pace_sent (&d->batch_pace, now_us);
+    lc_batch_pace_record_sent (&d->batch_pace, now_us);
   g_array_unref (batch);
 }
 
@@ -199,7 +199,7 @@
       lc_distributor__note_unplaced (d, change, now_us);
       return;
     }
-  if (lc_guard_check (&d->guard, d->desc.view, change, now_us) == LC_GUARD_PASS)
+  if (lc_loss_guard_check (&d->guard, d->desc.view, change, now_us) == LC_LOSS_GUARD_PASS)
     {
       lc_distributor__propose (d, change, now_us);
       return;
--- a/src/control/lc-distributor.c
+++ b/src/control/lc-distributor.c
@@ -242,7 +242,7 @@
       g_hash_table_iter_init (&iter, d->watch.leases.by_name);
       while (g_hash_table_iter_next (&iter, NULL, &value))
         lc_lease_renew (&d->watch.leases, value, now_us);
-      lc_watch_report_again (&d->watch);
+      lc_watch_resend_all (&d->watch);
     }
   d->was_leader = is_leader;
 }
@@ -301,7 +301,7 @@
   LcViewServerDesc server = { .loop = desc->app->loop,
                               .view = desc->view,
                               .first_view = lc_distributor__on_first_view };
-  LcGuardDesc guard = { 0 };
+  LcLossGuardDesc guard = { 0 };
   LcDistributor *d;
 
   if (desc->propose == NULL || desc->is_leader == NULL || desc->view == NULL)
@@ -316,7 +316,7 @@
   server.user = d;
   lc_view_server_init (&d->server, &server);
   lc_watch_init (&d->watch, &watch);
-  lc_guard_init (&d->guard, &guard);
+  lc_loss_guard_init (&d->guard, &guard);
   lc_distributor__init_proposals (d);
   d->lost_since = g_hash_table_new_full (NULL, NULL, NULL, g_free);
   lc_distributor__init_metrics (d);
@@ -333,7 +333,7 @@
   lc_timer_finish (&d->tick);
   lc_distributor__finish_proposals (d);
   g_hash_table_destroy (d->lost_since);
-  lc_guard_finish (&d->guard);
+  lc_loss_guard_finish (&d->guard);
   lc_watch_finish (&d->watch);
   lc_view_server_finish (&d->server);
   g_free (d);
@@ -347,7 +347,7 @@
   int64_t now_us = lc_clock_now_us ();
 
   for (size_t i = 0; i < n_ops; i++)
-    lc_guard_note (&d->guard, &ops[i], now_us);
+    lc_loss_guard_record (&d->guard, &ops[i], now_us);
   lc_view_server_publish (&d->server, ops, n_ops);
 }
 
@@ -453,10 +453,10 @@
 }
 
 void
-lc_distributor_guard_status (const LcDistributor *d, int64_t now_us, LcGuardStatus *out)
+lc_distributor_guard_status (const LcDistributor *d, int64_t now_us, LcLossGuardStatus *out)
 {
   memset (out, 0, sizeof *out);
-  out->is_holding = lc_guard_is_holding (&d->guard, now_us);
+  out->is_holding = lc_loss_guard_is_holding (&d->guard, now_us);
   out->held_total = d->guard.held_total;
   if (!out->is_holding)
     return;
--- a/src/control/lc-distributor.h
+++ b/src/control/lc-distributor.h
@@ -65,7 +65,7 @@
   int64_t holding_for_us;
   uint64_t held_total;
   char what[2 * LC_NAME_MAX]; /* "endpoints of data centre hall-atl" */
-} LcGuardStatus;
+} LcLossGuardStatus;
 
 typedef struct LcDistributor LcDistributor;
 
@@ -83,7 +83,8 @@
                                 int64_t now_us,
                                 LcDcStatus *out,
                                 uint32_t max);
-void
-lc_distributor_guard_status (const LcDistributor *distributor, int64_t now_us, LcGuardStatus *out);
+void lc_distributor_guard_status (const LcDistributor *distributor,
+                                  int64_t now_us,
+                                  LcLossGuardStatus *out);
 
 #endif /* LC_DISTRIBUTOR_H */
--- a/src/control/lc-replica-form.c
+++ b/src/control/lc-replica-form.c
@@ -21,7 +21,7 @@
 {
   LcError error = { 0 };
 
-  if (lc_store_form (&replica->store, cluster, initial, &error) < 0)
+  if (lc_store_set_cluster (&replica->store, cluster, initial, &error) < 0)
     {
       LC_ERROR ("control.form-failed", "message", LC_STR (error.message), "remedy",
                 LC_STR (error.remedy));
@@ -173,7 +173,7 @@
 }
 
 static void
-lc_replica__see (LcReplica *replica, const LcReplicaPeer *peer, LcHealSeen *seen)
+lc_replica__see (LcReplica *replica, const LcReplicaPeer *peer, LcHealReplica *seen)
 {
   const LcRaftProgress *progress = lc_raft_progress (&replica->raft, peer->id);
   int64_t heard_us = lc_replica__now_us () - peer->heard_us;
@@ -197,7 +197,7 @@
 {
   LcHealDesc desc = { .self = replica->id,
                       .n_voters = lc_control_settings_voters (replica->desc.settings) };
-  LcHealSeen seen[LC_REPLICA_PEERS_MAX];
+  LcHealReplica seen[LC_REPLICA_PEERS_MAX];
   LcHealChange change;
   uint32_t n = 0;
 
@@ -270,7 +270,7 @@
   else if (outgoing == NULL)
     lc_replica__finish_replace (replica);
   else if (outgoing->id == replica->id)
-    lc_raft_transfer (&replica->raft, lc_replica__now_us ());
+    lc_raft_transfer_leadership (&replica->raft, lc_replica__now_us ());
   else
     lc_replica__change (replica, LC_RAFT_REMOVE, outgoing);
 }
--- a/src/control/lc-replica-peers.c
+++ b/src/control/lc-replica-peers.c
@@ -243,7 +243,7 @@
   for (uint32_t i = 0; replica->is_formed && peer->cluster == 0 && i < config->n_members; i++)
     if (config->members[i].ipv4 == peer->ipv4 && config->members[i].peer_port == peer->port &&
         config->members[i].id != peer->id)
-      lc_raft_note_ended (&replica->raft, config->members[i].id);
+      lc_raft_mark_gone (&replica->raft, config->members[i].id);
 }
 
 void
--- a/src/control/lc-replica-standby.c
+++ b/src/control/lc-replica-standby.c
@@ -46,7 +46,7 @@
                          const LcReplicaLearned *learned)
 {
   const LcRaft *raft = &replica->raft;
-  int64_t heard_us = lc_raft_silence_us (raft);
+  int64_t heard_us = lc_raft_leader_silence_us (raft);
   LcHealSelf self = { .id = replica->id,
                       .members = &raft->config,
                       .members_index = lc_raft_config_as_of (raft),
@@ -145,7 +145,7 @@
   lc_store_init (&replica->store, &desc);
   r = lc_store_discard (&replica->store, &error);
   lc_store_finish (&replica->store);
-  lc_store_found_finish (&replica->found);
+  lc_store_recovered_finish (&replica->found);
   if (r == 0)
     r = lc_replica__open_store (replica, &error);
   else
--- a/src/control/lc-replica.c
+++ b/src/control/lc-replica.c
@@ -113,7 +113,7 @@
                                 lc_clock_now_us () - replica->proposed_us);
           replica->proposed_index = 0;
         }
-      lc_raft_applied (&replica->raft);
+      lc_raft_mark_applied (&replica->raft);
       has_applied = true;
     }
   if (!has_applied)
@@ -252,7 +252,7 @@
   else
     {
       lc_metric_observe_us (replica->metrics.write_us, report->took_us);
-      lc_raft_persisted (&replica->raft, report->sequence, lc_replica__now_us ());
+      lc_raft_mark_persisted (&replica->raft, report->sequence, lc_replica__now_us ());
     }
   lc_replica__pump (replica);
 }
@@ -318,7 +318,7 @@
 
   lc_raft_init (&replica->raft, &desc, lc_replica__now_us ());
   replica->snapshot_index = replica->found.snapshot.index;
-  lc_store_found_finish (&replica->found);
+  lc_store_recovered_finish (&replica->found);
   lc_store_task_init (&replica->task, &task);
   replica->is_formed = true;
   replica->formed_us = lc_replica__now_us ();
@@ -396,7 +396,7 @@
     }
   if (lc_replica__has_disk (replica))
     {
-      lc_store_found_finish (&replica->found);
+      lc_store_recovered_finish (&replica->found);
       lc_store_finish (&replica->store);
       lc_disk_posix_finish (&replica->disk);
     }
@@ -552,7 +552,7 @@
 {
   if (!replica->is_formed)
     return;
-  lc_raft_transfer (&replica->raft, lc_replica__now_us ());
+  lc_raft_transfer_leadership (&replica->raft, lc_replica__now_us ());
   lc_replica__pump (replica);
 }
 
@@ -592,5 +592,5 @@
 int64_t
 lc_replica_silence_us (const LcReplica *replica)
 {
-  return replica->is_formed ? lc_raft_silence_us (&replica->raft) : -1;
+  return replica->is_formed ? lc_raft_leader_silence_us (&replica->raft) : -1;
 }
--- a/src/control/lc-replica.h
+++ b/src/control/lc-replica.h
@@ -111,7 +111,7 @@
   LcDiskPosix disk;
   LcStore store;
   LcStoreTask task;
-  LcStoreFound found;
+  LcStoreRecovered found;
   LcReplicaId id;
   uint64_t cluster;
   bool is_formed;
--- a/src/controller/lc-member-choose.c
+++ b/src/controller/lc-member-choose.c
@@ -365,7 +365,7 @@
     return true;
   for (uint32_t i = 0; i < member->n_slots; i++)
     n_unheard += member->slots[i].is_open && !member->slots[i].is_known;
-  return lc_first_view_may_take (&member->first_view, n_unheard, now_us);
+  return lc_first_view_may_accept (&member->first_view, n_unheard, now_us);
 }
 
 /* Whether the primary has been behind another upstream for too long.  One without any view is left
--- a/src/controller/lc-member-serve.c
+++ b/src/controller/lc-member-serve.c
@@ -160,7 +160,7 @@
   if (answer == NULL)
     return;
   for (size_t i = 0; i < answer->n_live; i++)
-    lc_watch_vouch (&member->watch, answer->live[i]->name, answer->live[i]->instance);
+    lc_watch_confirm_elsewhere (&member->watch, answer->live[i]->name, answer->live[i]->instance);
   lc__wire__lease_answer__free_unpacked (answer, NULL);
 }
 
--- a/src/controller/lc-member-upstream.c
+++ b/src/controller/lc-member-upstream.c
@@ -270,11 +270,11 @@
     case LC_SYNC_APPLIED:
       lc_member__view_changed (member, ops + skipped, n_ops - skipped, false);
       break;
-    case LC_SYNC_RESET:
+    case LC_SYNC_REPLACED:
       LC_INFO ("member.snapshot", "revision", LC_U64 (member->sync.view.revision));
       lc_member__view_changed (member, NULL, 0, true);
       break;
-    case LC_SYNC_ASK:
+    case LC_SYNC_RESUBSCRIBE:
       if (error->message[0] != '\0')
         lc_member_note_malformed (member, "view operation", error);
       lc_member__subscribe (slot, lc_clock_now_us ());
@@ -367,7 +367,7 @@
   slot->is_known = true;
   slot->revision = status->revision;
   if (status->revision > 0)
-    lc_first_view_offered (&member->first_view, now_us);
+    lc_first_view_record_offer (&member->first_view, now_us);
   lc_member_note_revision (member, status->revision);
   slot->is_leader = status->is_leader;
   slot->stands_by = status->stands_by;
--- a/src/controller/lc-view-server.c
+++ b/src/controller/lc-view-server.c
@@ -172,7 +172,7 @@
   if (!scope.is_scoped)
     return server->log.n_ops - lc_op_log_after (&server->log, sub->sent_revision);
   for (size_t i = lc_op_log_after (&server->log, sub->sent_revision); i < server->log.n_ops; i++)
-    n += lc_scope_wants (&scope, lc_op_log_at (&server->log, i)) ? 1 : 0;
+    n += lc_scope_includes (&scope, lc_op_log_at (&server->log, i)) ? 1 : 0;
   return n;
 }
 
@@ -200,7 +200,7 @@
 
   lc_wire_view_ops_init (&batch);
   for (size_t i = lc_op_log_after (&server->log, sub->sent_revision); i < server->log.n_ops; i++)
-    if (lc_scope_wants (&sub->scope, lc_op_log_at (&server->log, i)))
+    if (lc_scope_includes (&sub->scope, lc_op_log_at (&server->log, i)))
       lc_wire_view_ops_add (&batch, lc_op_log_at (&server->log, i));
   message.from_revision = sub->sent_revision;
   message.to_revision = server->desc.view->revision;
@@ -345,7 +345,8 @@
                              size_t *unsent_bytes,
                              int64_t started_us)
 {
-  for (guint n = turns->length; n > 0 && !lc_flush_is_spent (started_us, lc_clock_now_us ()); n--)
+  for (guint n = turns->length; n > 0 && !lc_flush_is_slice_over (started_us, lc_clock_now_us ());
+       n--)
     {
       LcSubscriber *sub = g_queue_peek_head (turns);
       size_t before = lc_link_backlog_bytes (sub->link);
--- a/src/core/burn/lc-burn-merge.c
+++ b/src/core/burn/lc-burn-merge.c
@@ -65,7 +65,7 @@
 
 /* Index of the first sample whose uptime is above `uptime_us`. */
 static guint
-lc_burn_merge__after (const LcBurnSeries *series, int64_t uptime_us)
+lc_burn_merge__index_after (const LcBurnSeries *series, int64_t uptime_us)
 {
   guint low = 0;
   guint high = series->samples->len;
@@ -83,7 +83,7 @@
 }
 
 static bool
-lc_burn_merge__grows (const LcBurnSample *before, const LcBurnSample *after)
+lc_burn_merge__is_monotonic (const LcBurnSample *before, const LcBurnSample *after)
 {
   for (int i = 0; i < LC_N_BURN_COUNTERS; i++)
     if (after->counts.values[i] < before->counts.values[i])
@@ -101,10 +101,10 @@
 /* Counts at a time of the reader's clock, interpolated linearly: zero before the process started,
  * those of the first sample between the start and that sample.  See RULES. */
 static LcBurnPoint
-lc_burn_merge__at (const LcBurnSeries *series, int64_t at_us)
+lc_burn_merge__interpolate (const LcBurnSeries *series, int64_t at_us)
 {
   int64_t uptime_us = at_us - series->started_at_us;
-  guint after = lc_burn_merge__after (series, uptime_us);
+  guint after = lc_burn_merge__index_after (series, uptime_us);
   guint last = series->samples->len - 1;
   const LcBurnSample *low = lc_burn_merge__sample (series, after > 0 ? after - 1 : 0);
   const LcBurnSample *high = lc_burn_merge__sample (series, after > last ? last : after);
@@ -122,7 +122,7 @@
 }
 
 static double
-lc_burn_merge__open (const LcBurnPoint *point)
+lc_burn_merge__open_flows (const LcBurnPoint *point)
 {
   double open = point->values[LC_BURN_FLOW_OPENED] - point->values[LC_BURN_FLOW_ENDED];
 
@@ -171,16 +171,16 @@
                    const LcBurnSample *sample)
 {
   LcBurnSeries *series = lc_burn_merge__series (merge, key, reported_at_us - reported_uptime_us);
-  guint at = lc_burn_merge__after (series, sample->uptime_us);
+  guint at = lc_burn_merge__index_after (series, sample->uptime_us);
   const LcBurnSample *before = at > 0 ? lc_burn_merge__sample (series, at - 1) : NULL;
 
   if (before != NULL && memcmp (before, sample, sizeof *sample) == 0)
     return LC_ERR_EXISTS;
   if (sample->uptime_us < 0 ||
       (before != NULL &&
-       (before->uptime_us == sample->uptime_us || !lc_burn_merge__grows (before, sample))) ||
+       (before->uptime_us == sample->uptime_us || !lc_burn_merge__is_monotonic (before, sample))) ||
       (at < series->samples->len &&
-       !lc_burn_merge__grows (sample, lc_burn_merge__sample (series, at))))
+       !lc_burn_merge__is_monotonic (sample, lc_burn_merge__sample (series, at))))
     {
       merge->refused_samples++;
       return LC_ERR_CORRUPT;
@@ -191,7 +191,7 @@
 
 /* The part of the window that the samples of a series cover. */
 static int64_t
-lc_burn_merge__covered (const LcBurnSeries *series, int64_t from_us, int64_t to_us)
+lc_burn_merge__covered_us (const LcBurnSeries *series, int64_t from_us, int64_t to_us)
 {
   int64_t first_us = series->started_at_us + lc_burn_merge__sample (series, 0)->uptime_us;
 
@@ -219,12 +219,13 @@
       if (series->samples->len == 0 || !lc_burn_merge__matches (series, service, data_centre) ||
           series->started_at_us >= now_us || lc_burn_merge__end_us (series) <= from_us)
         continue;
-      start = lc_burn_merge__at (series, from_us);
-      end = lc_burn_merge__at (series, now_us);
+      start = lc_burn_merge__interpolate (series, from_us);
+      end = lc_burn_merge__interpolate (series, now_us);
       for (int i = 0; i < LC_N_BURN_COUNTERS; i++)
         window.growth[i] += end.values[i] - start.values[i];
-      window.open_at_start += lc_burn_merge__open (&start);
-      window.covered_us = MIN (window.covered_us, lc_burn_merge__covered (series, from_us, now_us));
+      window.open_at_start += lc_burn_merge__open_flows (&start);
+      window.covered_us =
+          MIN (window.covered_us, lc_burn_merge__covered_us (series, from_us, now_us));
       window.n_series++;
     }
   return window;
@@ -256,9 +257,9 @@
           !lc_burn_merge__matches (series, service, data_centre) || series->started_at_us > at_us ||
           lc_burn_merge__end_us (series) + step_us < at_us)
         continue;
-      point = lc_burn_merge__at (series, at_us);
-      load = lc_burn_merge__open (&point) * 100.0 / series->key.weight_percent;
-      n_open += lc_burn_merge__open (&point);
+      point = lc_burn_merge__interpolate (series, at_us);
+      load = lc_burn_merge__open_flows (&point) * 100.0 / series->key.weight_percent;
+      n_open += lc_burn_merge__open_flows (&point);
       peak = MAX (peak, load);
       sum += load;
       n++;
--- a/src/core/burn/lc-burn-report.c
+++ b/src/core/burn/lc-burn-report.c
@@ -39,13 +39,13 @@
 }
 
 static double
-lc_burn_report__rate (double bad, double all, double allowed)
+lc_burn_report__burn_rate (double bad, double all, double allowed)
 {
   return all > 0 ? bad / all / allowed : 0;
 }
 
 static double
-lc_burn_report__allowed (const LcBurnObjective *objective)
+lc_burn_report__allowed_share (const LcBurnObjective *objective)
 {
   uint32_t good_ppm = objective->good_ppm != 0 ? objective->good_ppm : LC_BURN_DEFAULT_GOOD_PPM;
 
@@ -56,7 +56,7 @@
 }
 
 static void
-lc_burn_report__span (LcBurnSpan *span, double allowed)
+lc_burn_report__compute_span (LcBurnSpan *span, double allowed)
 {
   const double *n = span->counts.growth;
 
@@ -65,13 +65,13 @@
   span->requests = span->bad_requests + n[LC_BURN_GOOD];
   span->bad_flows = n[LC_BURN_FLOW_BROKEN] + n[LC_BURN_FLOW_REFUSED];
   span->flows = span->counts.open_at_start + n[LC_BURN_FLOW_OPENED] + n[LC_BURN_FLOW_REFUSED];
-  span->request_rate = lc_burn_report__rate (span->bad_requests, span->requests, allowed);
-  span->flow_rate = lc_burn_report__rate (span->bad_flows, span->flows, allowed);
+  span->request_rate = lc_burn_report__burn_rate (span->bad_requests, span->requests, allowed);
+  span->flow_rate = lc_burn_report__burn_rate (span->bad_flows, span->flows, allowed);
   span->covered_us = span->counts.covered_us;
 }
 
 static void
-lc_burn_report__judge (LcBurnReport *report, int pair)
+lc_burn_report__evaluate_pair (LcBurnReport *report, int pair)
 {
   const LcBurnSpan *short_span = &report->spans[2 * pair];
   const LcBurnSpan *long_span = &report->spans[2 * pair + 1];
@@ -87,13 +87,13 @@
 }
 
 void
-lc_burn_report_make (LcBurnReport *report,
-                     const LcBurnMerge *merge,
-                     const LcBurnObjective *objective,
-                     const char *data_centre,
-                     int64_t now_us)
+lc_burn_report_compute (LcBurnReport *report,
+                        const LcBurnMerge *merge,
+                        const LcBurnObjective *objective,
+                        const char *data_centre,
+                        int64_t now_us)
 {
-  double allowed = lc_burn_report__allowed (objective);
+  double allowed = lc_burn_report__allowed_share (objective);
   const LcBurnSpan *longest = &report->spans[2 * LC_BURN_PAIRS - 1];
 
   memset (report, 0, sizeof *report);
@@ -105,12 +105,12 @@
       span->length_us = LC_BURN_WINDOWS[i / 2].lengths_us[i % 2];
       span->counts =
           lc_burn_merge_window (merge, objective->service, data_centre, now_us, span->length_us);
-      lc_burn_report__span (span, allowed);
+      lc_burn_report__compute_span (span, allowed);
     }
   for (int pair = 0; pair < LC_BURN_PAIRS; pair++)
     {
       report->limits[pair] = LC_BURN_WINDOWS[pair].limit;
-      lc_burn_report__judge (report, pair);
+      lc_burn_report__evaluate_pair (report, pair);
     }
   report->request_budget_left = 1 - longest->request_rate;
   report->flow_budget_left = 1 - longest->flow_rate;
--- a/src/core/burn/lc-burn-report.h
+++ b/src/core/burn/lc-burn-report.h
@@ -9,7 +9,7 @@
  * HOW TO USE IT
  *     LcBurnObjective objective = { .service = "order-desk", .good_ppm = 999000 };
  *     LcBurnReport report;
- *     lc_burn_report_make (&report, merge, &objective, NULL, now_us);
+ *     lc_burn_report_compute (&report, merge, &objective, NULL, now_us);
  *
  * WHAT IS BAD
  *   Requests: late, refused, unknown and failed, over all requests that ended.  Flows: broken and
@@ -71,11 +71,11 @@
     LcBurnImbalance imbalance; /* of the last hour */
   } LcBurnReport;
 
-  void lc_burn_report_make (LcBurnReport *report,
-                            const LcBurnMerge *merge,
-                            const LcBurnObjective *objective,
-                            const char *data_centre,
-                            int64_t now_us);
+  void lc_burn_report_compute (LcBurnReport *report,
+                               const LcBurnMerge *merge,
+                               const LcBurnObjective *objective,
+                               const char *data_centre,
+                               int64_t now_us);
   /* "quiet", "ticket" or "page". */
   const char *lc_burn_urgency_name (LcBurnUrgency urgency);
 
--- a/src/core/burn/lc-burn-ring.c
+++ b/src/core/burn/lc-burn-ring.c
@@ -24,7 +24,10 @@
 
 /* The next sample is due at a whole multiple of the spacing, so that late ticks don't drift. */
 static void
-lc_burn_ring__take (LcBurnLevel *level, int index, int64_t uptime_us, const LcBurnCounts *counts)
+lc_burn_ring__add_sample (LcBurnLevel *level,
+                          int index,
+                          int64_t uptime_us,
+                          const LcBurnCounts *counts)
 {
   int64_t spacing_us = LC_BURN_SPACINGS[index].spacing_us;
   uint32_t size = LC_BURN_SPACINGS[index].size;
@@ -40,7 +43,7 @@
 {
   for (int i = 0; i < LC_BURN_LEVELS; i++)
     if (uptime_us >= ring->levels[i].due_us)
-      lc_burn_ring__take (&ring->levels[i], i, uptime_us, counts);
+      lc_burn_ring__add_sample (&ring->levels[i], i, uptime_us, counts);
 }
 
 static int
--- a/src/core/control/lc-control-declare.c
+++ b/src/core/control/lc-control-declare.c
@@ -16,7 +16,7 @@
 }
 
 static void
-lc_plan__declare_dcs (LcPlanWork *builder, const LcDeclaration *d)
+lc_plan__declare_dcs (LcPlanBuilder *builder, const LcDeclaration *d)
 {
   for (uint32_t i = 0; i < d->n_dcs; i++)
     {
@@ -26,7 +26,7 @@
 
       if (known != NULL && strcmp (known->region, wanted->region) == 0)
         continue;
-      op = lc_plan__add (builder, LC_VIEW_DC);
+      op = lc_plan__add_op (builder, LC_VIEW_DC);
       if (known != NULL)
         op->dc = *known;
       else
@@ -36,13 +36,13 @@
           (void)g_strlcpy (op->dc.name, wanted->name, sizeof op->dc.name);
         }
       (void)g_strlcpy (op->dc.region, wanted->region, sizeof op->dc.region);
-      lc_plan__say (builder->steps, "%s data centre %s in region %s", lc_plan__dc_verb (known),
-                    wanted->name, wanted->region);
+      lc_plan__add_line (builder->steps, "%s data centre %s in region %s", lc_plan__dc_verb (known),
+                         wanted->name, wanted->region);
     }
 }
 
 static bool
-lc_plan__set_number (LcPlanWork *builder,
+lc_plan__set_number (LcPlanBuilder *builder,
                      const LcDeclaredService *wanted,
                      const char *field,
                      uint32_t *value,
@@ -50,14 +50,17 @@
 {
   if (*value == to)
     return false;
-  lc_plan__say (builder->steps, "%s: %s from %u to %u", wanted->name, field, *value, to);
+  lc_plan__add_line (builder->steps, "%s: %s from %u to %u", wanted->name, field, *value, to);
   *value = to;
   return true;
 }
 
 /* `is_whole`: fields that the declaration leaves out are reset to their defaults. */
 static bool
-lc_plan__set_limits (LcPlanWork *builder, const LcDeclaredService *w, bool is_whole, LcService *s)
+lc_plan__set_limits (LcPlanBuilder *builder,
+                     const LcDeclaredService *w,
+                     bool is_whole,
+                     LcService *s)
 {
   bool has_changed = false;
 
@@ -83,8 +86,9 @@
       s->returns_packets != w->returns_packets)
     {
       s->returns_packets = w->returns_packets;
-      lc_plan__say (builder->steps, "service %s: backend servers %s packets that they do not hold",
-                    w->name, w->returns_packets ? "return" : "do not return");
+      lc_plan__add_line (builder->steps,
+                         "service %s: backend servers %s packets that they do not hold", w->name,
+                         w->returns_packets ? "return" : "do not return");
       has_changed = true;
     }
   return has_changed;
@@ -112,11 +116,14 @@
 }
 
 static void
-lc_plan__say_address (GString *lines, const char *what, const char *service, const LcAddress *a)
+lc_plan__add_address_line (GString *lines,
+                           const char *what,
+                           const char *service,
+                           const LcAddress *a)
 {
-  lc_plan__say (lines, "%s: %s %u.%u.%u.%u:%u/%s", service, what, a->ipv4 >> 24,
-                (a->ipv4 >> 16) & 255, (a->ipv4 >> 8) & 255, a->ipv4 & 255, a->port,
-                a->protocol == LC_PROTOCOL_TCP ? "tcp" : "udp");
+  lc_plan__add_line (lines, "%s: %s %u.%u.%u.%u:%u/%s", service, what, a->ipv4 >> 24,
+                     (a->ipv4 >> 16) & 255, (a->ipv4 >> 8) & 255, a->ipv4 & 255, a->port,
+                     a->protocol == LC_PROTOCOL_TCP ? "tcp" : "udp");
 }
 
 static void
@@ -126,7 +133,7 @@
 }
 
 static GArray *
-lc_plan__list_of (GHashTable *lists, LcServiceId id, guint size)
+lc_plan__service_list (GHashTable *lists, LcServiceId id, guint size)
 {
   GArray *list = g_hash_table_lookup (lists, GUINT_TO_POINTER (id));
 
@@ -151,7 +158,7 @@
 /* Indexes addresses and routes by service, and routes by key, once per plan: a linear search for
  * every declared service took 185 ms at 18,000 services. */
 static void
-lc_plan__gather (LcPlanWork *builder)
+lc_plan__index_view (LcPlanBuilder *builder)
 {
   const GArray *routes = builder->state->view.routes;
   GHashTableIter iter;
@@ -162,25 +169,26 @@
   builder->routes_by_key = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   g_hash_table_iter_init (&iter, builder->state->view.addresses);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    g_array_append_vals (lc_plan__list_of (builder->addresses_by_service,
-                                           ((LcAddress *)value)->service_id, sizeof (LcAddress)),
+    g_array_append_vals (lc_plan__service_list (builder->addresses_by_service,
+                                                ((LcAddress *)value)->service_id,
+                                                sizeof (LcAddress)),
                          value, 1);
   for (guint i = 0; i < routes->len; i++)
     {
       LcRoute *route = &g_array_index (routes, LcRoute, i);
 
       g_array_append_vals (
-          lc_plan__list_of (builder->routes_by_service, route->service_id, sizeof (LcRoute)), route,
-          1);
+          lc_plan__service_list (builder->routes_by_service, route->service_id, sizeof (LcRoute)),
+          route, 1);
       g_hash_table_insert (builder->routes_by_key,
                            lc_plan__route_key (route->host, route->path_prefix), route);
     }
 }
 
 static void
-lc_plan__remove_addresses (LcPlanWork *builder, const LcDeclaredService *w, LcServiceId id)
+lc_plan__remove_addresses (LcPlanBuilder *builder, const LcDeclaredService *w, LcServiceId id)
 {
-  GArray *known = lc_plan__list_of (builder->addresses_by_service, id, sizeof (LcAddress));
+  GArray *known = lc_plan__service_list (builder->addresses_by_service, id, sizeof (LcAddress));
 
   g_array_sort (known, lc_control__compare_addresses);
   for (guint i = 0; i < known->len; i++)
@@ -189,15 +197,15 @@
 
       if (lc_plan__declares_address (w, a))
         continue;
-      lc_plan__add (builder, LC_VIEW_ADDRESS_REMOVED)->address = *a;
-      lc_plan__say_address (builder->steps, "remove address", w->name, a);
-      lc_plan__say_address (builder->breaks, "cuts the flows to", w->name, a);
+      lc_plan__add_op (builder, LC_VIEW_ADDRESS_REMOVED)->address = *a;
+      lc_plan__add_address_line (builder->steps, "remove address", w->name, a);
+      lc_plan__add_address_line (builder->breaks, "cuts the flows to", w->name, a);
       builder->n_cut++;
     }
 }
 
 static int
-lc_plan__add_addresses (LcPlanWork *builder,
+lc_plan__add_addresses (LcPlanBuilder *builder,
                         const LcDeclaredService *w,
                         LcServiceId id,
                         LcError *error)
@@ -221,10 +229,10 @@
       a.service_id = id;
       (void)g_strlcpy (a.homes, d->homes, sizeof a.homes);
       if (known != NULL)
-        lc_plan__add (builder, LC_VIEW_ADDRESS_REMOVED)->address = *known;
-      lc_plan__add (builder, LC_VIEW_ADDRESS)->address = a;
-      lc_plan__say_address (builder->steps, known != NULL ? "move homes of" : "add address",
-                            w->name, &a);
+        lc_plan__add_op (builder, LC_VIEW_ADDRESS_REMOVED)->address = *known;
+      lc_plan__add_op (builder, LC_VIEW_ADDRESS)->address = a;
+      lc_plan__add_address_line (builder->steps, known != NULL ? "move homes of" : "add address",
+                                 w->name, &a);
     }
   return 0;
 }
@@ -237,9 +245,9 @@
 }
 
 static void
-lc_plan__remove_routes (LcPlanWork *builder, const LcDeclaredService *w, LcServiceId id)
+lc_plan__remove_routes (LcPlanBuilder *builder, const LcDeclaredService *w, LcServiceId id)
 {
-  const GArray *routes = lc_plan__list_of (builder->routes_by_service, id, sizeof (LcRoute));
+  const GArray *routes = lc_plan__service_list (builder->routes_by_service, id, sizeof (LcRoute));
 
   for (guint i = 0; i < routes->len; i++)
     {
@@ -250,16 +258,16 @@
         is_wanted = lc_plan__same_route (route, w->routes[k].host, w->routes[k].path_prefix);
       if (is_wanted)
         continue;
-      lc_plan__add (builder, LC_VIEW_ROUTE_REMOVED)->route = *route;
-      lc_plan__say (builder->steps, "%s: remove route %s%s", w->name, route->host,
-                    route->path_prefix);
-      lc_plan__say (builder->breaks, "%s: new requests to %s%s no longer reach it", w->name,
-                    route->host, route->path_prefix);
+      lc_plan__add_op (builder, LC_VIEW_ROUTE_REMOVED)->route = *route;
+      lc_plan__add_line (builder->steps, "%s: remove route %s%s", w->name, route->host,
+                         route->path_prefix);
+      lc_plan__add_line (builder->breaks, "%s: new requests to %s%s no longer reach it", w->name,
+                         route->host, route->path_prefix);
     }
 }
 
 static int
-lc_plan__add_routes (LcPlanWork *builder,
+lc_plan__add_routes (LcPlanBuilder *builder,
                      const LcDeclaredService *w,
                      LcServiceId id,
                      LcError *error)
@@ -277,20 +285,20 @@
         return lc_error_set (error, LC_ERR_EXISTS, "give it up in the other service first",
                              "service %s: route %s%s belongs to another service", w->name,
                              w->routes[k].host, w->routes[k].path_prefix);
-      op = lc_plan__add (builder, LC_VIEW_ROUTE);
+      op = lc_plan__add_op (builder, LC_VIEW_ROUTE);
       op->route.id = builder->next_route_id++;
       op->route.service_id = id;
       (void)g_strlcpy (op->route.host, w->routes[k].host, sizeof op->route.host);
       (void)g_strlcpy (op->route.path_prefix, w->routes[k].path_prefix,
                        sizeof op->route.path_prefix);
-      lc_plan__say (builder->steps, "%s: add route %s%s", w->name, op->route.host,
-                    op->route.path_prefix);
+      lc_plan__add_line (builder->steps, "%s: add route %s%s", w->name, op->route.host,
+                         op->route.path_prefix);
     }
   return 0;
 }
 
 static LcServiceId
-lc_plan__put_service (LcPlanWork *builder, const LcDeclaredService *w, bool is_whole)
+lc_plan__put_service (LcPlanBuilder *builder, const LcDeclaredService *w, bool is_whole)
 {
   const LcService *known = lc_view_service_by_name (&builder->state->view, w->name);
   LcService s;
@@ -303,7 +311,7 @@
     {
       s.id = builder->next_service_id++;
       (void)g_strlcpy (s.name, w->name, sizeof s.name);
-      lc_plan__say (builder->steps, "open service %s", w->name);
+      lc_plan__add_line (builder->steps, "open service %s", w->name);
     }
   has_changed = lc_plan__set_limits (builder, w, is_whole, &s);
   if (known == NULL || has_changed)
@@ -313,13 +321,13 @@
       s.n_endpoints = 0;
       s.former = NULL;
       s.n_former = 0;
-      lc_plan__add (builder, LC_VIEW_SERVICE)->service = s;
+      lc_plan__add_op (builder, LC_VIEW_SERVICE)->service = s;
     }
   return s.id;
 }
 
 static int
-lc_plan__declare_service (LcPlanWork *builder,
+lc_plan__declare_service (LcPlanBuilder *builder,
                           LcIntentKind kind,
                           const LcDeclaredService *w,
                           LcError *error)
@@ -334,7 +342,7 @@
                          "use `lychee plan apply --file` to change a service that is open",
                          "service %s is open already", w->name);
   if (kind == LC_INTENT_CHANGE_RULE && !is_known)
-    return lc_plan__unknown ("service", w->name, error);
+    return lc_plan__set_not_found ("service", w->name, error);
   id = lc_plan__put_service (builder, w, is_whole);
   if (is_whole || (w->fields & LC_DECLARED_ADDRESSES))
     {
@@ -350,7 +358,7 @@
 }
 
 static char *
-lc_plan__place_key (const LcViewOp *op)
+lc_plan__op_key (const LcViewOp *op)
 {
   if (op->kind == LC_VIEW_ROUTE)
     return lc_plan__route_key (op->route.host, op->route.path_prefix);
@@ -359,7 +367,7 @@
 
 /* Two services of one declaration must not name the same address or route. */
 static int
-lc_plan__check_apart (const LcPlanWork *builder, LcError *error)
+lc_plan__check_unique (const LcPlanBuilder *builder, LcError *error)
 {
   GHashTable *seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   int r = 0;
@@ -370,7 +378,7 @@
 
       if (op->kind != LC_VIEW_ADDRESS && op->kind != LC_VIEW_ROUTE)
         continue;
-      if (!g_hash_table_add (seen, lc_plan__place_key (op)))
+      if (!g_hash_table_add (seen, lc_plan__op_key (op)))
         r = lc_error_set (error, LC_ERR_INVALID, "give each address and route to one service",
                           "two services of the declaration share an address or route");
     }
@@ -379,16 +387,16 @@
 }
 
 int
-lc_plan__declare (LcPlanWork *builder, const LcIntent *intent, LcError *error)
+lc_plan__declare (LcPlanBuilder *builder, const LcIntent *intent, LcError *error)
 {
   int r = 0;
 
   r = lc_home_check (&intent->declaration, &builder->state->view, "", error);
   if (r < 0)
     return r;
-  lc_plan__gather (builder);
+  lc_plan__index_view (builder);
   lc_plan__declare_dcs (builder, &intent->declaration);
   for (uint32_t i = 0; i < intent->declaration.n_services && r == 0; i++)
     r = lc_plan__declare_service (builder, intent->kind, &intent->declaration.services[i], error);
-  return r < 0 ? r : lc_plan__check_apart (builder, error);
+  return r < 0 ? r : lc_plan__check_unique (builder, error);
 }
--- a/src/core/control/lc-control-evacuate.c
+++ b/src/core/control/lc-control-evacuate.c
@@ -11,8 +11,8 @@
     {
       const LcService *s = g_ptr_array_index (services, i);
 
-      if (lc_evacuation_left (&state->view, s, 0) > 0 &&
-          lc_evacuation_left (&state->view, s, dc) == 0)
+      if (lc_evacuation_n_candidates (&state->view, s, 0) > 0 &&
+          lc_evacuation_n_candidates (&state->view, s, dc) == 0)
         found = s;
     }
   g_ptr_array_unref (services);
@@ -68,7 +68,7 @@
     {
     case LC_EVACUATION_IN_FORCE:
       return 0;
-    case LC_EVACUATION_OVERTAKEN:
+    case LC_EVACUATION_SUPERSEDED:
       return lc_error_set (error, LC_ERR_UNAVAILABLE,
                            "look at `lychee history`; give the order again if it is still wanted",
                            "the evacuation of %s was changed while this order was on its way",
--- a/src/core/control/lc-control-member.c
+++ b/src/core/control/lc-control-member.c
@@ -14,7 +14,7 @@
 }
 
 static void
-lc_control__retire (LcInstance *retired, LcInstance instance)
+lc_control__add_retired (LcInstance *retired, LcInstance instance)
 {
   memmove (&retired[1], &retired[0], (LC_CONTROL_RETIRED_INSTANCES - 1) * sizeof *retired);
   retired[0] = instance;
@@ -120,7 +120,7 @@
 lc_control__begin_instance (LcEndpointRecord *record, LcInstance instance)
 {
   if (record->instance != 0 && record->instance != instance)
-    lc_control__retire (record->retired, record->instance);
+    lc_control__add_retired (record->retired, record->instance);
   record->instance = instance;
   record->is_leaving = false;
   record->is_ramped = false;
@@ -274,7 +274,7 @@
       return;
     }
   if (record->instance != 0 && record->instance != from->instance)
-    lc_control__retire (record->retired, record->instance);
+    lc_control__add_retired (record->retired, record->instance);
   record->instance = from->instance;
   record->is_gone = false;
   memset (&b, 0, sizeof b);
@@ -331,7 +331,7 @@
 }
 
 void
-lc_control__member (LcControlState *state, LcRevision revision, const LcMemberChange *change)
+lc_control__apply_member (LcControlState *state, LcRevision revision, const LcMemberChange *change)
 {
   switch (change->kind)
     {
--- a/src/core/control/lc-control-numbered.c
+++ b/src/core/control/lc-control-numbered.c
@@ -5,7 +5,7 @@
 /* === private: services and addresses ======================================================== */
 
 static LcServiceId
-lc_control__want_service (LcControlState *state, LcRevision revision, const LcDeclaredService *w)
+lc_control__upsert_service (LcControlState *state, LcRevision revision, const LcDeclaredService *w)
 {
   const LcService *known = lc_view_service_by_name (&state->view, w->name);
   LcViewOp op = { .kind = LC_VIEW_SERVICE };
@@ -39,7 +39,7 @@
 /* Removes an address that has homes before it is changed: agents only hold addresses with homes in
  * their scope (lc-scope.h), and the removal, which carries the old homes, reaches those agents. */
 static void
-lc_control__take_homes (LcControlState *state, LcRevision revision, const LcAddress *known)
+lc_control__remove_with_homes (LcControlState *state, LcRevision revision, const LcAddress *known)
 {
   LcViewOp op = { .kind = LC_VIEW_ADDRESS_REMOVED };
 
@@ -50,11 +50,11 @@
 }
 
 static void
-lc_control__want_address (LcControlState *state,
-                          LcRevision revision,
-                          const LcDeclaredAddress *w,
-                          LcServiceId service_id,
-                          GHashTable *declared)
+lc_control__upsert_address (LcControlState *state,
+                            LcRevision revision,
+                            const LcDeclaredAddress *w,
+                            LcServiceId service_id,
+                            GHashTable *declared)
 {
   const LcAddress *known =
       lc_view_address (&state->view, w->ipv4, w->port, (LcProtocol)w->protocol);
@@ -62,7 +62,7 @@
 
   if (known == NULL || known->service_id != service_id || strcmp (known->homes, w->homes) != 0)
     {
-      lc_control__take_homes (state, revision, known);
+      lc_control__remove_with_homes (state, revision, known);
       op.address.ipv4 = w->ipv4;
       op.address.port = w->port;
       op.address.protocol = w->protocol;
@@ -78,7 +78,7 @@
 
 /* Sorted, since the order of a hash table differs between replicas. */
 static void
-lc_control__drop_addresses (LcControlState *state, LcRevision revision, GHashTable *declared)
+lc_control__remove_undeclared (LcControlState *state, LcRevision revision, GHashTable *declared)
 {
   GArray *removed = g_array_new (FALSE, FALSE, sizeof (LcAddress));
   GHashTableIter iter;
@@ -116,22 +116,22 @@
   for (uint32_t i = 0; i < n->declaration.n_services; i++)
     {
       const LcDeclaredService *w = &n->declaration.services[i];
-      LcServiceId id = lc_control__want_service (state, revision, w);
+      LcServiceId id = lc_control__upsert_service (state, revision, w);
 
       for (uint32_t k = 0; k < w->n_addresses; k++)
-        lc_control__want_address (state, revision, &w->addresses[k], id, declared);
+        lc_control__upsert_address (state, revision, &w->addresses[k], id, declared);
     }
-  lc_control__drop_addresses (state, revision, declared);
+  lc_control__remove_undeclared (state, revision, declared);
   g_hash_table_destroy (declared);
-  lc_control__keep_document (state, n->number, n->document, revision);
+  lc_control__store_document (state, n->number, n->document, revision);
   return true;
 }
 
 void
-lc_control__keep_document (LcControlState *state,
-                           uint64_t number,
-                           GBytes *document,
-                           LcRevision revision)
+lc_control__store_document (LcControlState *state,
+                            uint64_t number,
+                            GBytes *document,
+                            LcRevision revision)
 {
   g_clear_pointer (&state->numbered.document, g_bytes_unref);
   state->numbered.number = number;
--- a/src/core/control/lc-control-plan-private.h
+++ b/src/core/control/lc-control-plan-private.h
@@ -11,11 +11,12 @@
 #include "lc-control-private.h"
 
 /* Appends a line to the steps or breaks. */
-void lc_plan__say (GString *lines, const char *format, ...) __attribute__ ((format (printf, 2, 3)));
+void lc_plan__add_line (GString *lines, const char *format, ...)
+    __attribute__ ((format (printf, 2, 3)));
 /* Appends an empty operation; the pointer is valid until the next one is added. */
-LcViewOp *lc_plan__add (LcPlanWork *builder, LcViewOpKind kind);
+LcViewOp *lc_plan__add_op (LcPlanBuilder *builder, LcViewOpKind kind);
 /* Sets LC_ERR_NOT_FOUND for an object of the kind `what`. */
-int lc_plan__unknown (const char *what, const char *name, LcError *error);
-int lc_plan__declare (LcPlanWork *builder, const LcIntent *intent, LcError *error);
+int lc_plan__set_not_found (const char *what, const char *name, LcError *error);
+int lc_plan__declare (LcPlanBuilder *builder, const LcIntent *intent, LcError *error);
 
 #endif /* LC_CONTROL_PLAN_PRIVATE_H */
--- a/src/core/control/lc-control-plan.c
+++ b/src/core/control/lc-control-plan.c
@@ -5,7 +5,7 @@
 /* === public: lifetime ======================================================================= */
 
 void
-lc_plan_work_init (LcPlanWork *builder, const LcControlState *state)
+lc_plan_builder_init (LcPlanBuilder *builder, const LcControlState *state)
 {
   memset (builder, 0, sizeof *builder);
   builder->state = state;
@@ -18,7 +18,7 @@
 }
 
 void
-lc_plan_work_finish (LcPlanWork *builder)
+lc_plan_builder_finish (LcPlanBuilder *builder)
 {
   g_array_unref (builder->ops);
   g_string_free (builder->steps, TRUE);
@@ -31,7 +31,7 @@
 }
 
 bool
-lc_plan_work_is_empty (const LcPlanWork *builder)
+lc_plan_builder_is_empty (const LcPlanBuilder *builder)
 {
   return builder->ops->len == 0 && builder->drain_target == NULL && !builder->replaces_control;
 }
@@ -39,7 +39,7 @@
 /* === private: lines and operations ========================================================== */
 
 void
-lc_plan__say (GString *lines, const char *format, ...)
+lc_plan__add_line (GString *lines, const char *format, ...)
 {
   va_list args;
 
@@ -50,7 +50,7 @@
 }
 
 LcViewOp *
-lc_plan__add (LcPlanWork *builder, LcViewOpKind kind)
+lc_plan__add_op (LcPlanBuilder *builder, LcViewOpKind kind)
 {
   LcViewOp op = { .kind = kind };
 
@@ -59,7 +59,7 @@
 }
 
 int
-lc_plan__unknown (const char *what, const char *name, LcError *error)
+lc_plan__set_not_found (const char *what, const char *name, LcError *error)
 {
   return lc_error_set (error, LC_ERR_NOT_FOUND, "look at `lychee status` for the known names",
                        "there is no %s %s", what, name);
@@ -69,32 +69,32 @@
 
 /* Endpoints in an evacuated data centre take no new work and don't count. */
 static uint32_t
-lc_plan__n_candidates (const LcPlanWork *builder, const LcService *s)
+lc_plan__n_candidates (const LcPlanBuilder *builder, const LcService *s)
 {
-  return lc_evacuation_left (&builder->state->view, s, 0);
+  return lc_evacuation_n_candidates (&builder->state->view, s, 0);
 }
 
 static void
-lc_plan__note_emptied (LcPlanWork *builder, const LcService *s, uint32_t n_left)
+lc_plan__note_emptied (LcPlanBuilder *builder, const LcService *s, uint32_t n_left)
 {
   if (n_left > 0)
     return;
   builder->n_emptied++;
-  lc_plan__say (builder->breaks,
-                "service %s would have no endpoint: its new requests and flows fail", s->name);
+  lc_plan__add_line (builder->breaks,
+                     "service %s would have no endpoint: its new requests and flows fail", s->name);
 }
 
 static void
-lc_plan__set_state (LcPlanWork *builder, const LcEndpoint *e, LcEndpointState state)
+lc_plan__set_state (LcPlanBuilder *builder, const LcEndpoint *e, LcEndpointState state)
 {
-  LcViewOp *op = lc_plan__add (builder, LC_VIEW_ENDPOINT);
+  LcViewOp *op = lc_plan__add_op (builder, LC_VIEW_ENDPOINT);
 
   op->endpoint = *e;
   op->endpoint.state = (uint8_t)state;
 }
 
 static int
-lc_plan__drain (LcPlanWork *builder, const LcIntent *intent, LcError *error)
+lc_plan__drain (LcPlanBuilder *builder, const LcIntent *intent, LcError *error)
 {
   const LcEndpointRecord *record = g_hash_table_lookup (builder->state->endpoints, intent->target);
   const LcEndpoint *e =
@@ -103,13 +103,13 @@
   uint32_t n_left;
 
   if (record == NULL)
-    return lc_plan__unknown ("endpoint", intent->target, error);
+    return lc_plan__set_not_found ("endpoint", intent->target, error);
   if (record->is_drained)
     return 0;
   builder->drain_target = record->name;
   builder->sets_drain = true;
-  lc_plan__say (builder->steps, "%s takes no new work, also after a restart of its agent",
-                record->name);
+  lc_plan__add_line (builder->steps, "%s takes no new work, also after a restart of its agent",
+                     record->name);
   if (s == NULL || !lc_endpoint_is_candidate (e))
     return 0;
   n_left = lc_plan__n_candidates (builder, s);
@@ -118,15 +118,17 @@
   builder->n_moved = 1;
   builder->waits_for_flows = true;
   lc_plan__set_state (builder, e, LC_ENDPOINT_DRAINING);
-  lc_plan__say (builder->steps, "new work of %s goes to its %u other endpoints", s->name, n_left);
-  lc_plan__say (builder->steps, "established flows and running requests of %s end by themselves",
-                record->name);
+  lc_plan__add_line (builder->steps, "new work of %s goes to its %u other endpoints", s->name,
+                     n_left);
+  lc_plan__add_line (builder->steps,
+                     "established flows and running requests of %s end by themselves",
+                     record->name);
   lc_plan__note_emptied (builder, s, n_left);
   return 0;
 }
 
 static int
-lc_plan__undrain (LcPlanWork *builder, const LcIntent *intent, LcError *error)
+lc_plan__undrain (LcPlanBuilder *builder, const LcIntent *intent, LcError *error)
 {
   const LcEndpointRecord *record = g_hash_table_lookup (builder->state->endpoints, intent->target);
   const LcEndpoint *e =
@@ -134,11 +136,11 @@
   LcEndpointRecord lifted;
 
   if (record == NULL)
-    return lc_plan__unknown ("endpoint", intent->target, error);
+    return lc_plan__set_not_found ("endpoint", intent->target, error);
   if (!record->is_drained)
     return 0;
   builder->drain_target = record->name;
-  lc_plan__say (builder->steps, "%s takes new work again", record->name);
+  lc_plan__add_line (builder->steps, "%s takes new work again", record->name);
   lifted = *record;
   lifted.is_drained = false;
   if (e != NULL)
@@ -149,7 +151,7 @@
 /* === private: data centres ================================================================== */
 
 static uint32_t
-lc_plan__drain_service_in (LcPlanWork *builder, const LcService *s, LcDcId dc)
+lc_plan__drain_service_in (LcPlanBuilder *builder, const LcService *s, LcDcId dc)
 {
   uint32_t n = 0;
 
@@ -166,42 +168,43 @@
 }
 
 static int
-lc_plan__retire_dc (LcPlanWork *builder, const LcIntent *intent, LcError *error)
+lc_plan__retire_dc (LcPlanBuilder *builder, const LcIntent *intent, LcError *error)
 {
   const LcDataCentre *dc = lc_view_dc_by_name (&builder->state->view, intent->target);
   GPtrArray *services;
 
   if (dc == NULL)
-    return lc_plan__unknown ("data centre", intent->target, error);
+    return lc_plan__set_not_found ("data centre", intent->target, error);
   if (dc->state == LC_DC_RETIRING)
     return 0;
-  lc_plan__add (builder, LC_VIEW_DC)->dc = *dc;
+  lc_plan__add_op (builder, LC_VIEW_DC)->dc = *dc;
   g_array_index (builder->ops, LcViewOp, builder->ops->len - 1).dc.state = LC_DC_RETIRING;
-  lc_plan__say (builder->steps, "endpoints that announce themselves in %s take no new work",
-                dc->name);
+  lc_plan__add_line (builder->steps, "endpoints that announce themselves in %s take no new work",
+                     dc->name);
   services = lc_control_state_services (builder->state);
   for (guint i = 0; i < services->len; i++)
     {
       const LcService *s = g_ptr_array_index (services, i);
       uint32_t n = lc_plan__drain_service_in (builder, s, dc->id);
-      uint32_t n_left = lc_evacuation_left (&builder->state->view, s, dc->id);
+      uint32_t n_left = lc_evacuation_n_candidates (&builder->state->view, s, dc->id);
 
       if (n == 0)
         continue;
       builder->n_moved += n;
       builder->waits_for_flows = true;
-      lc_plan__say (builder->steps, "%u endpoints of %s drain, new work goes to %u elsewhere", n,
-                    s->name, n_left);
+      lc_plan__add_line (builder->steps, "%u endpoints of %s drain, new work goes to %u elsewhere",
+                         n, s->name, n_left);
       lc_plan__note_emptied (builder, s, n_left);
     }
   g_ptr_array_unref (services);
-  lc_plan__say (builder->steps, "balancers of %s go on steering until they are stopped", dc->name);
+  lc_plan__add_line (builder->steps, "balancers of %s go on steering until they are stopped",
+                     dc->name);
   return 0;
 }
 
 /* Restores endpoints that drain only because of the data centre; an operator's drain stays. */
 static void
-lc_plan__restore_service_in (LcPlanWork *builder, const LcService *s, LcDcId dc)
+lc_plan__restore_service_in (LcPlanBuilder *builder, const LcService *s, LcDcId dc)
 {
   for (uint32_t i = 0; i < s->n_endpoints; i++)
     {
@@ -216,18 +219,18 @@
 }
 
 static int
-lc_plan__restore_dc (LcPlanWork *builder, const LcIntent *intent, LcError *error)
+lc_plan__restore_dc (LcPlanBuilder *builder, const LcIntent *intent, LcError *error)
 {
   const LcDataCentre *dc = lc_view_dc_by_name (&builder->state->view, intent->target);
   GPtrArray *services;
 
   if (dc == NULL)
-    return lc_plan__unknown ("data centre", intent->target, error);
+    return lc_plan__set_not_found ("data centre", intent->target, error);
   if (dc->state == LC_DC_ACTIVE)
     return 0;
-  lc_plan__add (builder, LC_VIEW_DC)->dc = *dc;
+  lc_plan__add_op (builder, LC_VIEW_DC)->dc = *dc;
   g_array_index (builder->ops, LcViewOp, builder->ops->len - 1).dc.state = LC_DC_ACTIVE;
-  lc_plan__say (builder->steps, "endpoints of %s take new work again", dc->name);
+  lc_plan__add_line (builder->steps, "endpoints of %s take new work again", dc->name);
   services = lc_control_state_services (builder->state);
   for (guint i = 0; i < services->len; i++)
     lc_plan__restore_service_in (builder, g_ptr_array_index (services, i), dc->id);
@@ -238,27 +241,29 @@
 /* === private: control VMs =================================================================== */
 
 static int
-lc_plan__replace_control (LcPlanWork *builder, const LcIntent *intent, LcError *error)
+lc_plan__replace_control (LcPlanBuilder *builder, const LcIntent *intent, LcError *error)
 {
   if (builder->state->replace.is_active)
     return lc_error_set (error, LC_ERR_REFUSED, "wait until `lychee status` shows it as done",
                          "%s is being replaced by %s already", builder->state->replace.old_name,
                          builder->state->replace.replacement.name);
   builder->replaces_control = true;
-  lc_plan__say (builder->steps, "add %s as a learner and send it the log",
-                intent->replacement.name);
-  lc_plan__say (builder->steps, "make %s a voter once it has caught up", intent->replacement.name);
-  lc_plan__say (builder->steps, "remove %s", intent->target);
-  lc_plan__say (builder->steps,
-                "until the last step is done, the loss of one more control VM can stop changes "
-                "(traffic goes on)");
+  lc_plan__add_line (builder->steps, "add %s as a learner and send it the log",
+                     intent->replacement.name);
+  lc_plan__add_line (builder->steps, "make %s a voter once it has caught up",
+                     intent->replacement.name);
+  lc_plan__add_line (builder->steps, "remove %s", intent->target);
+  lc_plan__add_line (
+      builder->steps,
+      "until the last step is done, the loss of one more control VM can stop changes "
+      "(traffic goes on)");
   return 0;
 }
 
 /* === public: run ============================================================================ */
 
 static int
-lc_plan__check_safe (const LcPlanWork *builder, const LcIntent *intent, LcError *error)
+lc_plan__check_safe (const LcPlanBuilder *builder, const LcIntent *intent, LcError *error)
 {
   gsize len = builder->breaks->len > 0 ? builder->breaks->len - 1 : 0;
 
@@ -274,7 +279,7 @@
 }
 
 static int
-lc_plan__dispatch (LcPlanWork *builder, const LcIntent *intent, LcError *error)
+lc_plan__dispatch (LcPlanBuilder *builder, const LcIntent *intent, LcError *error)
 {
   switch (intent->kind)
     {
@@ -297,7 +302,7 @@
 }
 
 int
-lc_plan_work_run (LcPlanWork *builder, const LcIntent *intent, LcError *error)
+lc_plan_builder_run (LcPlanBuilder *builder, const LcIntent *intent, LcError *error)
 {
   int r = lc_intent_check (intent, error);
 
@@ -305,7 +310,7 @@
     r = lc_plan__dispatch (builder, intent, error);
   if (r == 0)
     r = lc_plan__check_safe (builder, intent, error);
-  if (r == 0 && lc_plan_work_is_empty (builder))
-    lc_plan__say (builder->steps, "nothing to do: this is in force already");
+  if (r == 0 && lc_plan_builder_is_empty (builder))
+    lc_plan__add_line (builder->steps, "nothing to do: this is in force already");
   return r;
 }
--- a/src/core/control/lc-control-plan.h
+++ b/src/core/control/lc-control-plan.h
@@ -5,11 +5,11 @@
  *   shows.  Planning discards the operations, confirming computes them again and applies them.
  *
  * HOW TO USE IT
- *     LcPlanWork builder;
- *     lc_plan_work_init (&builder, &state);
- *     r = lc_plan_work_run (&builder, &intent, &error);     LC_ERR_REFUSED: unsafe
+ *     LcPlanBuilder builder;
+ *     lc_plan_builder_init (&builder, &state);
+ *     r = lc_plan_builder_run (&builder, &intent, &error);     LC_ERR_REFUSED: unsafe
  *     builder.ops, builder.steps, builder.breaks ...
- *     lc_plan_work_finish (&builder);
+ *     lc_plan_builder_finish (&builder);
  */
 #ifndef LC_CONTROL_PLAN_H
 #define LC_CONTROL_PLAN_H
@@ -35,12 +35,12 @@
   bool sets_drain;
   bool replaces_control;
   bool waits_for_flows;
-} LcPlanWork;
+} LcPlanBuilder;
 
-void lc_plan_work_init (LcPlanWork *builder, const LcControlState *state);
-void lc_plan_work_finish (LcPlanWork *builder);
-int lc_plan_work_run (LcPlanWork *builder, const LcIntent *intent, LcError *error);
+void lc_plan_builder_init (LcPlanBuilder *builder, const LcControlState *state);
+void lc_plan_builder_finish (LcPlanBuilder *builder);
+int lc_plan_builder_run (LcPlanBuilder *builder, const LcIntent *intent, LcError *error);
 /* Whether it changes nothing. */
-bool lc_plan_work_is_empty (const LcPlanWork *builder);
+bool lc_plan_builder_is_empty (const LcPlanBuilder *builder);
 
 #endif /* LC_CONTROL_PLAN_H */
--- a/src/core/control/lc-control-private.h
+++ b/src/core/control/lc-control-private.h
@@ -10,7 +10,8 @@
 LcEndpointState
 lc_control__endpoint_state (const LcControlState *state, const LcEndpointRecord *record, LcDcId dc);
 /* lc-control-member.c */
-void lc_control__member (LcControlState *state, LcRevision revision, const LcMemberChange *change);
+void
+lc_control__apply_member (LcControlState *state, LcRevision revision, const LcMemberChange *change);
 
 /* lc-control-evacuate.c: returns 0 also if the ordered state is already in force. */
 int lc_control__evacuate (LcControlState *state,
@@ -24,9 +25,9 @@
 bool lc_control__declare_numbered (LcControlState *state,
                                    LcRevision revision,
                                    const LcNumberedDeclaration *numbered);
-void lc_control__keep_document (LcControlState *state,
-                                uint64_t number,
-                                GBytes *document,
-                                LcRevision revision);
+void lc_control__store_document (LcControlState *state,
+                                 uint64_t number,
+                                 GBytes *document,
+                                 LcRevision revision);
 
 #endif /* LC_CONTROL_PRIVATE_H */
--- a/src/core/control/lc-control-state.c
+++ b/src/core/control/lc-control-state.c
@@ -90,12 +90,12 @@
 }
 
 static void
-lc_control__record (LcControlState *state,
-                    LcRevision index,
-                    const LcControlCommand *c,
-                    uint64_t plan_id,
-                    const char *action,
-                    const char *summary)
+lc_control__record_audit (LcControlState *state,
+                          LcRevision index,
+                          const LcControlCommand *c,
+                          uint64_t plan_id,
+                          const char *action,
+                          const char *summary)
 {
   LcAudit audit;
 
@@ -112,7 +112,7 @@
 }
 
 static void
-lc_control__summary (char *out, size_t size, const LcIntent *intent)
+lc_control__format_summary (char *out, size_t size, const LcIntent *intent)
 {
   const char *kind = lc_intent_kind_name (intent->kind);
   const LcDeclaration *d = &intent->declaration;
@@ -188,7 +188,7 @@
 
 /* Evicts the oldest plan that can't be confirmed any more, else the oldest one. */
 static void
-lc_control__make_room_for_plan (LcControlState *state)
+lc_control__evict_plan (LcControlState *state)
 {
   if (state->plans->len < LC_CONTROL_PLANS_MAX)
     return;
@@ -205,7 +205,7 @@
 lc_control__add_plan (LcControlState *state,
                       LcRevision index,
                       const LcControlCommand *c,
-                      const LcPlanWork *builder)
+                      const LcPlanBuilder *builder)
 {
   LcPlan *plan = g_new0 (LcPlan, 1);
 
@@ -221,32 +221,32 @@
   plan->waits_for_flows = builder->waits_for_flows;
   plan->steps = g_strdup (builder->steps->str);
   plan->breaks = g_strdup (builder->breaks->str);
-  lc_control__make_room_for_plan (state);
+  lc_control__evict_plan (state);
   g_ptr_array_add (state->plans, plan);
 }
 
 static void
-lc_control__plan (LcControlState *state, LcRevision index, const LcControlCommand *c)
+lc_control__apply_plan (LcControlState *state, LcRevision index, const LcControlCommand *c)
 {
   LcControlAnswer *answer = lc_control__new_answer (state, index, c);
   char summary[LC_CONTROL_SUMMARY_MAX];
-  LcPlanWork builder;
+  LcPlanBuilder builder;
   LcError error = { 0 };
 
-  lc_control__summary (summary, sizeof summary, &c->intent);
-  lc_plan_work_init (&builder, state);
-  if (lc_plan_work_run (&builder, &c->intent, &error) < 0)
+  lc_control__format_summary (summary, sizeof summary, &c->intent);
+  lc_plan_builder_init (&builder, state);
+  if (lc_plan_builder_run (&builder, &c->intent, &error) < 0)
     {
       lc_control__answer_error (answer, &error);
-      lc_control__record (state, index, c, 0, "refused", summary);
+      lc_control__record_audit (state, index, c, 0, "refused", summary);
     }
   else
     {
       lc_control__add_plan (state, index, c, &builder);
       answer->plan_id = index;
-      lc_control__record (state, index, c, index, "plan", summary);
+      lc_control__record_audit (state, index, c, index, "plan", summary);
     }
-  lc_plan_work_finish (&builder);
+  lc_plan_builder_finish (&builder);
 }
 
 /* === private: confirming ==================================================================== */
@@ -299,7 +299,7 @@
 }
 
 static void
-lc_control__start_replace (LcControlState *state, const LcPlan *plan)
+lc_control__begin_replacement (LcControlState *state, const LcPlan *plan)
 {
   state->replace.is_active = true;
   state->replace.plan_id = plan->id;
@@ -310,7 +310,7 @@
 /* Plans on an older base can't be confirmed any more; their declarations, up to half a megabyte
  * each, are freed. */
 static void
-lc_control__supersede (LcControlState *state)
+lc_control__supersede_plans (LcControlState *state)
 {
   for (guint i = 0; i < state->plans->len; i++)
     {
@@ -325,11 +325,14 @@
 }
 
 static void
-lc_control__execute (LcControlState *state, LcRevision index, LcPlan *plan, LcPlanWork *builder)
+lc_control__execute_plan (LcControlState *state,
+                          LcRevision index,
+                          LcPlan *plan,
+                          LcPlanBuilder *builder)
 {
   plan->state = LC_PLAN_CONFIRMED;
   plan->confirmed_revision = index;
-  if (lc_plan_work_is_empty (builder))
+  if (lc_plan_builder_is_empty (builder))
     return;
   for (guint i = 0; i < builder->ops->len; i++)
     lc_control__emit (state, index, &g_array_index (builder->ops, LcViewOp, i));
@@ -339,44 +342,44 @@
   if (builder->drain_target != NULL)
     lc_control__set_drain (state, builder->drain_target, builder->sets_drain);
   if (builder->replaces_control)
-    lc_control__start_replace (state, plan);
+    lc_control__begin_replacement (state, plan);
   state->config_revision = index;
-  lc_control__supersede (state);
+  lc_control__supersede_plans (state);
 }
 
 static void
-lc_control__confirm (LcControlState *state, LcRevision index, const LcControlCommand *c)
+lc_control__apply_confirm (LcControlState *state, LcRevision index, const LcControlCommand *c)
 {
   LcControlAnswer *answer = lc_control__new_answer (state, index, c);
   LcPlan *plan = lc_control__find_plan (state, c->plan_id);
   char summary[LC_CONTROL_SUMMARY_MAX] = "";
-  LcPlanWork builder;
+  LcPlanBuilder builder;
   LcError error = { 0 };
   int r = lc_control__check_confirm (state, plan, c->plan_id, &error);
 
   answer->plan_id = c->plan_id;
   if (plan != NULL)
-    lc_control__summary (summary, sizeof summary, &plan->intent);
+    lc_control__format_summary (summary, sizeof summary, &plan->intent);
   if (r < 0)
     {
       lc_control__answer_error (answer, &error);
-      lc_control__record (state, index, c, c->plan_id,
-                          r == LC_ERR_CONFLICT ? "conflict" : "refused", summary);
+      lc_control__record_audit (state, index, c, c->plan_id,
+                                r == LC_ERR_CONFLICT ? "conflict" : "refused", summary);
       return;
     }
-  lc_plan_work_init (&builder, state);
-  r = lc_plan_work_run (&builder, &plan->intent, &error);
+  lc_plan_builder_init (&builder, state);
+  r = lc_plan_builder_run (&builder, &plan->intent, &error);
   if (r < 0)
     lc_control__answer_error (answer, &error);
   else
     {
-      lc_control__execute (state, index, plan, &builder);
+      lc_control__execute_plan (state, index, plan, &builder);
       /* Older than `index` if the change doesn't affect the view, such as a drain of an endpoint
        * that is gone. */
       answer->revision = state->view.revision;
     }
-  lc_control__record (state, index, c, c->plan_id, r < 0 ? "refused" : "confirm", summary);
-  lc_plan_work_finish (&builder);
+  lc_control__record_audit (state, index, c, c->plan_id, r < 0 ? "refused" : "confirm", summary);
+  lc_plan_builder_finish (&builder);
   if (r == 0)
     lc_intent_drop_declaration (&plan->intent);
 }
@@ -395,7 +398,7 @@
 }
 
 static void
-lc_control__replaced (LcControlState *state, LcRevision index, const LcControlCommand *c)
+lc_control__apply_replaced (LcControlState *state, LcRevision index, const LcControlCommand *c)
 {
   char summary[LC_CONTROL_SUMMARY_MAX];
 
@@ -403,12 +406,12 @@
     return;
   (void)g_snprintf (summary, sizeof summary, "control VM %s is replaced by %s",
                     state->replace.old_name, state->replace.replacement.name);
-  lc_control__record (state, index, c, c->plan_id, "done", summary);
+  lc_control__record_audit (state, index, c, c->plan_id, "done", summary);
   memset (&state->replace, 0, sizeof state->replace);
 }
 
 static void
-lc_control__numbered (LcControlState *state, LcRevision index, const LcControlCommand *c)
+lc_control__apply_numbered (LcControlState *state, LcRevision index, const LcControlCommand *c)
 {
   char summary[LC_CONTROL_SUMMARY_MAX];
 
@@ -418,14 +421,14 @@
       return;
     }
   state->config_revision = index;
-  lc_control__supersede (state);
+  lc_control__supersede_plans (state);
   (void)g_snprintf (summary, sizeof summary, "declaration %" G_GUINT64_FORMAT,
                     (guint64)c->numbered.number);
-  lc_control__record (state, index, c, 0, "declare", summary);
+  lc_control__record_audit (state, index, c, 0, "declare", summary);
 }
 
 static void
-lc_control__evacuation (LcControlState *state, LcRevision index, const LcControlCommand *c)
+lc_control__apply_evacuate (LcControlState *state, LcRevision index, const LcControlCommand *c)
 {
   LcControlAnswer *answer = lc_control__new_answer (state, index, c);
   char summary[LC_CONTROL_SUMMARY_MAX];
@@ -437,7 +440,8 @@
   (void)g_snprintf (summary, sizeof summary, "%s the evacuation of %s%s",
                     c->evacuation.is_wanted ? "begin" : "end", c->evacuation.data_centre,
                     answer->code == LC_OK && state->ops->len == 0 ? ": in force already" : "");
-  lc_control__record (state, index, c, 0, answer->code == LC_OK ? "evacuate" : "refused", summary);
+  lc_control__record_audit (state, index, c, 0, answer->code == LC_OK ? "evacuate" : "refused",
+                            summary);
 }
 
 void
@@ -450,26 +454,26 @@
   switch (c->kind)
     {
     case LC_COMMAND_PLAN:
-      lc_control__plan (state, index, c);
+      lc_control__apply_plan (state, index, c);
       break;
     case LC_COMMAND_CONFIRM:
-      lc_control__confirm (state, index, c);
+      lc_control__apply_confirm (state, index, c);
       break;
     case LC_COMMAND_MEMBER:
-      lc_control__member (state, index, &c->member);
+      lc_control__apply_member (state, index, &c->member);
       break;
     case LC_COMMAND_CHANGES:
       for (uint32_t i = 0; i < c->changes.n; i++)
-        lc_control__member (state, index, &c->changes.items[i]);
+        lc_control__apply_member (state, index, &c->changes.items[i]);
       break;
     case LC_COMMAND_REPLACED:
-      lc_control__replaced (state, index, c);
+      lc_control__apply_replaced (state, index, c);
       break;
     case LC_COMMAND_NUMBERED:
-      lc_control__numbered (state, index, c);
+      lc_control__apply_numbered (state, index, c);
       break;
     case LC_COMMAND_EVACUATE:
-      lc_control__evacuation (state, index, c);
+      lc_control__apply_evacuate (state, index, c);
       break;
     }
 }
@@ -532,7 +536,7 @@
 }
 
 static int
-lc_control__by_id (gconstpointer a, gconstpointer b)
+lc_control__compare_service_ids (gconstpointer a, gconstpointer b)
 {
   const LcService *x = *(const LcService *const *)a;
   const LcService *y = *(const LcService *const *)b;
@@ -550,6 +554,6 @@
   g_hash_table_iter_init (&iter, state->view.services);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     g_ptr_array_add (services, value);
-  g_ptr_array_sort (services, lc_control__by_id);
+  g_ptr_array_sort (services, lc_control__compare_service_ids);
   return services;
 }
--- a/src/core/control/lc-evacuation.c
+++ b/src/core/control/lc-evacuation.c
@@ -5,12 +5,12 @@
 {
   if (dc->is_evacuated == order->is_wanted)
     return LC_EVACUATION_IN_FORCE;
-  return dc->evacuation_revision > order->seen_revision ? LC_EVACUATION_OVERTAKEN
+  return dc->evacuation_revision > order->seen_revision ? LC_EVACUATION_SUPERSEDED
                                                         : LC_EVACUATION_CHANGE;
 }
 
 uint32_t
-lc_evacuation_left (const LcView *view, const LcService *service, LcDcId dc)
+lc_evacuation_n_candidates (const LcView *view, const LcService *service, LcDcId dc)
 {
   uint32_t n = 0;
 
--- a/src/core/control/lc-evacuation.h
+++ b/src/core/control/lc-evacuation.h
@@ -47,15 +47,15 @@
   typedef enum
   {
     LC_EVACUATION_CHANGE = 1,
-    LC_EVACUATION_IN_FORCE = 2,  /* nothing to do */
-    LC_EVACUATION_OVERTAKEN = 3, /* changed since: the operator must repeat the order */
+    LC_EVACUATION_IN_FORCE = 2,   /* nothing to do */
+    LC_EVACUATION_SUPERSEDED = 3, /* changed since: the operator must repeat the order */
   } LcEvacuationVerdict;
 
   LcEvacuationVerdict lc_evacuation_decide (const LcEvacuation *order, const LcDataCentre *dc);
 
   /* Number of the service's endpoints that take new work, not counting those in `dc` (0: none) and
    * in evacuated data centres. */
-  uint32_t lc_evacuation_left (const LcView *view, const LcService *service, LcDcId dc);
+  uint32_t lc_evacuation_n_candidates (const LcView *view, const LcService *service, LcDcId dc);
 
 #ifdef __cplusplus
 }
--- a/src/core/control/lc-heal.h
+++ b/src/core/control/lc-heal.h
@@ -45,7 +45,7 @@
     bool has_caught_up; /* members: lc_raft_has_caught_up */
     int64_t silent_us;  /* since its last message; INT64_MAX: none yet */
     char name[LC_NAME_MAX];
-  } LcHealSeen;
+  } LcHealReplica;
 
   typedef struct
   {
@@ -77,7 +77,7 @@
   /* The next change; false: none is needed or possible now. */
   bool lc_heal_next (const LcHealDesc *desc,
                      const LcRaftConfig *config,
-                     const LcHealSeen *seen,
+                     const LcHealReplica *seen,
                      uint32_t n_seen,
                      LcHealChange *change);
 
--- a/src/core/control/lc-home-check.c
+++ b/src/core/control/lc-home-check.c
@@ -3,12 +3,12 @@
 #include <string.h>
 
 static bool
-lc_home_check__is_known (const LcDeclaration *d,
-                         const LcView *view,
-                         const char *regions,
-                         const char *home)
+lc_home_check__is_known_region (const LcDeclaration *d,
+                                const LcView *view,
+                                const char *regions,
+                                const char *home)
 {
-  if (lc_homes_has (regions, home))
+  if (lc_home_regions_include (regions, home))
     return true;
   for (guint i = 0; i < view->dcs->len; i++)
     if (strcmp (g_array_index (view->dcs, LcDataCentre, i).region, home) == 0)
@@ -31,7 +31,7 @@
   int r = 0;
 
   for (char **home = homes; *home != NULL && r == 0; home++)
-    if (!lc_home_check__is_known (d, view, regions, *home))
+    if (!lc_home_check__is_known_region (d, view, regions, *home))
       r = lc_error_set (
           error, LC_ERR_INVALID, "name a region that a data centre is in, or leave the homes out",
           "service %s: address %u has the home %s, which is no region", s->name, i + 1, *home);
--- a/src/core/control/lc-home-check.h
+++ b/src/core/control/lc-home-check.h
@@ -20,8 +20,8 @@
 {
 #endif
 
-  /* `regions`: comma-separated names, as in lc-homes.h but of any length; may be "".  Returns 0 or
-   * LC_ERR_INVALID. */
+  /* `regions`: comma-separated names, as in lc-home-regions.h but of any length; may be "".
+   * Returns 0 or LC_ERR_INVALID. */
   int lc_home_check (const LcDeclaration *declaration,
                      const LcView *view,
                      const char *regions,
--- a/src/core/control/lc-intent.h
+++ b/src/core/control/lc-intent.h
@@ -20,7 +20,7 @@
 #define LC_INTENT_H
 
 #include "core/lc-error.h"
-#include "core/lc-homes.h"
+#include "core/lc-home-regions.h"
 #include "core/lc-types.h"
 
 #ifdef __cplusplus
@@ -72,8 +72,8 @@
   {
     uint32_t ipv4;
     uint16_t port;
-    uint8_t protocol;           /* LcProtocol */
-    char homes[LC_HOMES_BYTES]; /* lc-homes.h */
+    uint8_t protocol;                  /* LcProtocol */
+    char homes[LC_HOME_REGIONS_BYTES]; /* lc-home-regions.h */
   } LcDeclaredAddress;
 
   typedef struct
--- a/src/core/control/lc-raft-elect.c
+++ b/src/core/control/lc-raft-elect.c
@@ -25,7 +25,7 @@
 }
 
 bool
-lc_raft__is_bound (const LcRaft *raft)
+lc_raft__is_in_lease (const LcRaft *raft)
 {
   return raft->role == LC_RAFT_LEADER ||
          raft->clock_us - raft->leader_contact_clock_us < lc_raft__election_min_us (raft);
@@ -74,13 +74,13 @@
 /* Why an election may start although a leader's lease may not have expired. */
 typedef enum
 {
-  LC_RAFT_VOTE_USUAL,    /* it has expired: election timeout */
+  LC_RAFT_VOTE_TIMEOUT,  /* it has expired: election timeout */
   LC_RAFT_VOTE_TRANSFER, /* requested by the leader */
   LC_RAFT_VOTE_FRESH,    /* every voter has just started */
 } LcRaftVoteReason;
 
 static void
-lc_raft__ask_for_votes (LcRaft *raft, bool is_pre, LcRaftVoteReason reason)
+lc_raft__request_votes (LcRaft *raft, bool is_pre, LcRaftVoteReason reason)
 {
   uint64_t last = lc_raft_last_index (raft);
 
@@ -101,7 +101,7 @@
     }
 }
 
-/* lc_raft_persisted counts the replica's own vote once it is on disk. */
+/* lc_raft_mark_persisted counts the replica's own vote once it is on disk. */
 static void
 lc_raft__become_candidate (LcRaft *raft, LcRaftVoteReason reason)
 {
@@ -113,7 +113,7 @@
   raft->leader_match_index = 0;
   lc_raft__drop_incoming (raft);
   lc_raft__reset_election_timer (raft);
-  lc_raft__ask_for_votes (raft, false, reason);
+  lc_raft__request_votes (raft, false, reason);
 }
 
 void
@@ -123,23 +123,23 @@
   raft->leader = 0;
   raft->n_votes = 0;
   lc_raft__reset_election_timer (raft);
-  lc_raft__ask_for_votes (raft, true, LC_RAFT_VOTE_USUAL);
+  lc_raft__request_votes (raft, true, LC_RAFT_VOTE_TIMEOUT);
   lc_raft__count_vote (raft, raft->desc.id);
 }
 
 static void
-lc_raft__win (LcRaft *raft)
+lc_raft__win_election (LcRaft *raft)
 {
   if (raft->role == LC_RAFT_PRE_CANDIDATE)
     {
-      lc_raft__become_candidate (raft, LC_RAFT_VOTE_USUAL);
+      lc_raft__become_candidate (raft, LC_RAFT_VOTE_TIMEOUT);
       return;
     }
   raft->role = LC_RAFT_LEADER;
   raft->leader = raft->desc.id;
   raft->has_lost_lease = false;
   raft->counters.leader_total++;
-  lc_raft__lead (raft);
+  lc_raft__become_leader (raft);
 }
 
 void
@@ -152,7 +152,7 @@
     return;
   raft->votes[raft->n_votes++] = voter;
   if (raft->n_votes >= lc_raft__quorum (raft))
-    lc_raft__win (raft);
+    lc_raft__win_election (raft);
 }
 
 /* === fresh elections ================================================================ */
@@ -167,7 +167,7 @@
 enum
 {
   LC_RAFT_FRESH_SPREAD_MS = 30, /* random delay, to avoid simultaneous candidates */
-  LC_RAFT_FRESH_AGAIN_MS = 40,  /* until a request is repeated */
+  LC_RAFT_FRESH_RETRY_MS = 40,  /* until a request is repeated */
 };
 
 static int64_t
@@ -195,7 +195,7 @@
 
 /* Starts an election when every voter has granted the fresh pre-vote or is gone for good. */
 static void
-lc_raft__stand_if_all_fresh (LcRaft *raft)
+lc_raft__campaign_if_all_fresh (LcRaft *raft)
 {
   for (uint32_t i = 0; i < raft->n_gone; i++)
     lc_raft__count_fresh (raft, raft->gone[i]);
@@ -204,7 +204,7 @@
 }
 
 void
-lc_raft_note_ended (LcRaft *raft, LcReplicaId id)
+lc_raft_mark_gone (LcRaft *raft, LcReplicaId id)
 {
   for (uint32_t i = 0; i < raft->n_gone; i++)
     if (raft->gone[i] == id)
@@ -219,12 +219,12 @@
   if (raft->clock_us >= lc_raft__election_min_us (raft))
     raft->is_fresh = false;
   if (!raft->is_fresh || raft->clock_us < raft->fresh_due_clock_us ||
-      raft->role != LC_RAFT_FOLLOWER || !lc_raft__may_stand (raft))
+      raft->role != LC_RAFT_FOLLOWER || !lc_raft__may_campaign (raft))
     return;
-  raft->fresh_due_clock_us = raft->clock_us + lc_raft__fresh_wait_us (raft, LC_RAFT_FRESH_AGAIN_MS);
+  raft->fresh_due_clock_us = raft->clock_us + lc_raft__fresh_wait_us (raft, LC_RAFT_FRESH_RETRY_MS);
   raft->votes[0] = raft->desc.id;
   raft->n_votes = 1;
-  lc_raft__ask_for_votes (raft, true, LC_RAFT_VOTE_FRESH);
+  lc_raft__request_votes (raft, true, LC_RAFT_VOTE_FRESH);
 }
 
 static void
@@ -234,7 +234,7 @@
       !m->vote_reply.is_granted)
     return;
   lc_raft__count_fresh (raft, m->from);
-  lc_raft__stand_if_all_fresh (raft);
+  lc_raft__campaign_if_all_fresh (raft);
 }
 
 /* === votes ========================================================================= */
@@ -254,7 +254,7 @@
  * vote and lose an election timeout, a quarter of a second or more (that was one restart of all in
  * nine, with two voters left of three). */
 static bool
-lc_raft__yields (const LcRaft *raft, const LcRaftMessage *m)
+lc_raft__has_priority (const LcRaft *raft, const LcRaftMessage *m)
 {
   uint64_t last = lc_raft_last_index (raft);
 
@@ -266,22 +266,22 @@
  * well: it respects no lease.  With voters that start 0.4 s apart after a total power loss, a
  * leader is elected 0.03 to 0.06 s after the last of five starts instead of 0.27 s. */
 static bool
-lc_raft__lets_fresh_stand (const LcRaft *raft, const LcRaftMessage *m)
+lc_raft__grants_fresh (const LcRaft *raft, const LcRaftMessage *m)
 {
   if (raft->is_fresh)
-    return raft->role == LC_RAFT_FOLLOWER && lc_raft__yields (raft, m);
-  return raft->role < LC_RAFT_CANDIDATE && !lc_raft__is_bound (raft);
+    return raft->role == LC_RAFT_FOLLOWER && lc_raft__has_priority (raft, m);
+  return raft->role < LC_RAFT_CANDIDATE && !lc_raft__is_in_lease (raft);
 }
 
 static bool
-lc_raft__grants (LcRaft *raft, const LcRaftMessage *m)
+lc_raft__grants_vote (LcRaft *raft, const LcRaftMessage *m)
 {
   if (raft->is_suspended || !lc_raft__is_up_to_date (raft, m))
     return false;
   if (m->vote.is_pre && m->vote.is_fresh)
-    return m->term > raft->term && lc_raft__lets_fresh_stand (raft, m);
+    return m->term > raft->term && lc_raft__grants_fresh (raft, m);
   if (m->vote.is_pre)
-    return m->term > raft->term && !lc_raft__is_bound (raft);
+    return m->term > raft->term && !lc_raft__is_in_lease (raft);
   return m->term == raft->term && raft->role < LC_RAFT_CANDIDATE &&
          (raft->vote == 0 || raft->vote == m->from);
 }
@@ -293,7 +293,7 @@
 
   reply.vote_reply.is_pre = m->vote.is_pre;
   reply.vote_reply.is_fresh = m->vote.is_fresh;
-  reply.vote_reply.is_granted = lc_raft__grants (raft, m);
+  reply.vote_reply.is_granted = lc_raft__grants_vote (raft, m);
   if (reply.vote_reply.is_granted && !m->vote.is_pre)
     {
       lc_raft__set_hard_state (raft, raft->term, m->from);
@@ -323,7 +323,7 @@
 
 /* Not while a snapshot is about to replace the log. */
 bool
-lc_raft__may_stand (const LcRaft *raft)
+lc_raft__may_campaign (const LcRaft *raft)
 {
   return !raft->is_suspended && raft->installing.index == 0 &&
          lc_raft_config_is_voter (&raft->config, raft->desc.id);
@@ -332,6 +332,6 @@
 void
 lc_raft__on_timeout_now (LcRaft *raft)
 {
-  if (raft->role == LC_RAFT_FOLLOWER && lc_raft__may_stand (raft))
+  if (raft->role == LC_RAFT_FOLLOWER && lc_raft__may_campaign (raft))
     lc_raft__become_candidate (raft, LC_RAFT_VOTE_TRANSFER);
 }
--- a/src/core/control/lc-raft-follow.c
+++ b/src/core/control/lc-raft-follow.c
@@ -6,7 +6,7 @@
 
 /* Follows the sender as leader; false when it can't be the leader of this term. */
 static bool
-lc_raft__hear_leader (LcRaft *raft, const LcRaftMessage *m)
+lc_raft__follow_leader (LcRaft *raft, const LcRaftMessage *m)
 {
   if (raft->role == LC_RAFT_LEADER || (raft->leader != 0 && raft->leader != m->from))
     {
@@ -46,7 +46,7 @@
 
 /* Whether the log holds (index, term).  Entries before the log's base are committed and match. */
 static bool
-lc_raft__agrees (const LcRaft *raft, uint64_t index, uint64_t term)
+lc_raft__matches (const LcRaft *raft, uint64_t index, uint64_t term)
 {
   if (index < raft->base_index)
     return true;
@@ -55,7 +55,7 @@
 
 /* An index before all entries of the conflicting term, where the leader tries next. */
 static uint64_t
-lc_raft__hint (const LcRaft *raft, uint64_t prev_index)
+lc_raft__conflict_hint (const LcRaft *raft, uint64_t prev_index)
 {
   uint64_t at = MIN (prev_index, lc_raft_last_index (raft));
   uint64_t term = lc_raft_term_at (raft, at);
@@ -86,9 +86,9 @@
 /* Appends one entry; false when it conflicts with a committed one, which only a faulty peer
  * sends. */
 static bool
-lc_raft__take_entry (LcRaft *raft, const LcRaftEntry *e)
+lc_raft__accept_entry (LcRaft *raft, const LcRaftEntry *e)
 {
-  if (e->index <= raft->base_index || lc_raft__agrees (raft, e->index, e->term))
+  if (e->index <= raft->base_index || lc_raft__matches (raft, e->index, e->term))
     return true;
   if (e->index <= raft->commit_index)
     return false;
@@ -99,13 +99,13 @@
 }
 
 static void
-lc_raft__take_entries_of (LcRaft *raft, const LcRaftMessage *m)
+lc_raft__accept_entries (LcRaft *raft, const LcRaftMessage *m)
 {
   uint64_t last_new = m->append.prev_index;
 
   for (guint i = 0; m->append.entries != NULL && i < m->append.entries->len; i++)
     {
-      if (!lc_raft__take_entry (raft, &g_array_index (m->append.entries, LcRaftEntry, i)))
+      if (!lc_raft__accept_entry (raft, &g_array_index (m->append.entries, LcRaftEntry, i)))
         {
           raft->counters.malformed_total++;
           return;
@@ -125,14 +125,14 @@
       raft->counters.malformed_total++;
       return;
     }
-  if (!lc_raft__hear_leader (raft, m))
+  if (!lc_raft__follow_leader (raft, m))
     return;
   if (raft->installing.index > 0)
     lc_raft__reject (raft, m, raft->commit_index);
-  else if (!lc_raft__agrees (raft, m->append.prev_index, m->append.prev_term))
-    lc_raft__reject (raft, m, lc_raft__hint (raft, m->append.prev_index));
+  else if (!lc_raft__matches (raft, m->append.prev_index, m->append.prev_term))
+    lc_raft__reject (raft, m, lc_raft__conflict_hint (raft, m->append.prev_index));
   else
-    lc_raft__take_entries_of (raft, m);
+    lc_raft__accept_entries (raft, m);
 }
 
 /* === received snapshots ===================================================================== */
@@ -148,7 +148,7 @@
 }
 
 static void
-lc_raft__answer_chunk (LcRaft *raft, const LcRaftMessage *m, uint64_t next_offset)
+lc_raft__acknowledge_chunk (LcRaft *raft, const LcRaftMessage *m, uint64_t next_offset)
 {
   LcRaftMessage reply = { .kind = LC_RAFT_SNAPSHOT_REPLY, .to = m->from, .term = raft->term };
 
@@ -160,7 +160,7 @@
 
 /* Appends the chunk if it is the next one; returns the offset wanted next. */
 static uint64_t
-lc_raft__take_chunk (LcRaft *raft, const LcRaftMessage *m)
+lc_raft__append_chunk (LcRaft *raft, const LcRaftMessage *m)
 {
   gsize len = 0;
   const uint8_t *bytes = g_bytes_get_data (m->snapshot.chunk, &len);
@@ -206,11 +206,11 @@
       raft->counters.malformed_total++;
       return;
     }
-  if (!lc_raft__hear_leader (raft, m))
+  if (!lc_raft__follow_leader (raft, m))
     return;
   if (raft->installing.index > 0)
     {
-      lc_raft__answer_chunk (raft, m, m->snapshot.total_bytes);
+      lc_raft__acknowledge_chunk (raft, m, m->snapshot.total_bytes);
       return;
     }
   if (m->snapshot.last_index <= raft->commit_index ||
@@ -223,15 +223,15 @@
       lc_raft__acknowledge (raft, m->snapshot.sent_us);
       return;
     }
-  wanted = lc_raft__take_chunk (raft, m);
-  lc_raft__answer_chunk (raft, m, wanted);
+  wanted = lc_raft__append_chunk (raft, m);
+  lc_raft__acknowledge_chunk (raft, m, wanted);
   if (wanted == m->snapshot.total_bytes)
     lc_raft__begin_install (raft, m);
 }
 
 /* The snapshot is on disk and replaces the log, which ended before it or conflicted with it. */
 void
-lc_raft__installed (LcRaft *raft)
+lc_raft__finish_install (LcRaft *raft)
 {
   raft->is_install_taken = false;
   g_array_set_size (raft->log, 0);
--- a/src/core/control/lc-raft-leader.c
+++ b/src/core/control/lc-raft-leader.c
@@ -94,7 +94,7 @@
 
 /* Copies entries from next_index on, up to the batch size and the window. */
 static GArray *
-lc_raft__batch (LcRaft *raft, const LcRaftProgress *p)
+lc_raft__copy_batch (LcRaft *raft, const LcRaftProgress *p)
 {
   uint64_t last = MIN (lc_raft_last_index (raft), p->match_index + raft->desc.window_entries);
   GArray *entries = NULL;
@@ -102,7 +102,7 @@
 
   for (uint64_t i = p->next_index; i <= last && bytes < raft->desc.batch_bytes; i++)
     {
-      LcRaftEntry copy = lc_raft_entry_copy (lc_raft__entry (raft, i));
+      LcRaftEntry copy = lc_raft_entry_copy (lc_raft__entry_at (raft, i));
 
       bytes += copy.data != NULL ? g_bytes_get_size (copy.data) : 0;
       if (entries == NULL)
@@ -122,7 +122,7 @@
   m.append.prev_term = lc_raft_term_at (raft, p->next_index - 1);
   m.append.commit_index = raft->commit_index;
   m.append.sent_us = raft->now_us;
-  m.append.entries = p->is_probing ? NULL : lc_raft__batch (raft, p);
+  m.append.entries = p->is_probing ? NULL : lc_raft__copy_batch (raft, p);
   if (m.append.entries != NULL)
     p->next_index += m.append.entries->len;
   p->sent_clock_us = raft->clock_us;
@@ -174,7 +174,7 @@
 /* === private: commit and quorum ============================================================= */
 
 static int
-lc_raft__descending (gconstpointer a, gconstpointer b)
+lc_raft__compare_descending (gconstpointer a, gconstpointer b)
 {
   int64_t x = *(const int64_t *)a;
   int64_t y = *(const int64_t *)b;
@@ -200,24 +200,24 @@
     }
   if (n == 0)
     return 0;
-  qsort (values, n, sizeof values[0], lc_raft__descending);
+  qsort (values, n, sizeof values[0], lc_raft__compare_descending);
   return values[n / 2];
 }
 
 static int64_t
-lc_raft__match_of (const LcRaftProgress *p)
+lc_raft__match_index_of (const LcRaftProgress *p)
 {
   return (int64_t)p->match_index;
 }
 
 static int64_t
-lc_raft__heard_of (const LcRaftProgress *p)
+lc_raft__reply_clock_of (const LcRaftProgress *p)
 {
   return p->reply_clock_us;
 }
 
 static int64_t
-lc_raft__acked_of (const LcRaftProgress *p)
+lc_raft__acked_sent_of (const LcRaftProgress *p)
 {
   return p->acked_sent_us;
 }
@@ -228,7 +228,7 @@
 lc_raft__maybe_commit (LcRaft *raft)
 {
   uint64_t index =
-      (uint64_t)lc_raft__quorum_value (raft, (int64_t)raft->stable_index, lc_raft__match_of);
+      (uint64_t)lc_raft__quorum_value (raft, (int64_t)raft->stable_index, lc_raft__match_index_of);
 
   if (index <= raft->commit_index || lc_raft_term_at (raft, index) != raft->term)
     return;
@@ -253,7 +253,7 @@
 }
 
 void
-lc_raft__lead (LcRaft *raft)
+lc_raft__become_leader (LcRaft *raft)
 {
   raft->n_progress = 0;
   raft->transfer_until_clock_us = 0;
@@ -265,7 +265,7 @@
 void
 lc_raft__leader_tick (LcRaft *raft)
 {
-  int64_t quorum_us = lc_raft__quorum_value (raft, raft->clock_us, lc_raft__heard_of);
+  int64_t quorum_us = lc_raft__quorum_value (raft, raft->clock_us, lc_raft__reply_clock_of);
   bool has_transferred =
       raft->transfer_until_clock_us > 0 && raft->clock_us >= raft->transfer_until_clock_us;
 
@@ -284,7 +284,7 @@
 
 /* Any reply in this term shows that the peer followed this leader when it sent it. */
 static LcRaftProgress *
-lc_raft__hear_peer (LcRaft *raft, LcReplicaId from, int64_t sent_us)
+lc_raft__note_reply (LcRaft *raft, LcReplicaId from, int64_t sent_us)
 {
   LcRaftProgress *p = raft->role == LC_RAFT_LEADER ? lc_raft__find_progress (raft, from) : NULL;
 
@@ -328,7 +328,7 @@
 void
 lc_raft__on_append_reply (LcRaft *raft, const LcRaftMessage *m)
 {
-  LcRaftProgress *p = lc_raft__hear_peer (raft, m->from, m->append_reply.sent_us);
+  LcRaftProgress *p = lc_raft__note_reply (raft, m->from, m->append_reply.sent_us);
 
   if (p == NULL)
     return;
@@ -343,7 +343,7 @@
 void
 lc_raft__on_snapshot_reply (LcRaft *raft, const LcRaftMessage *m)
 {
-  LcRaftProgress *p = lc_raft__hear_peer (raft, m->from, m->snapshot_reply.sent_us);
+  LcRaftProgress *p = lc_raft__note_reply (raft, m->from, m->snapshot_reply.sent_us);
 
   if (p == NULL || p->sending.index == 0 || p->sending.index != m->snapshot_reply.last_index)
     return;
@@ -446,7 +446,7 @@
 /* === public: leadership transfer ============================================================ */
 
 void
-lc_raft_transfer (LcRaft *raft, int64_t now_us)
+lc_raft_transfer_leadership (LcRaft *raft, int64_t now_us)
 {
   LcRaftMessage m = { .kind = LC_RAFT_TIMEOUT_NOW, .term = raft->term };
   const LcRaftProgress *best = NULL;
@@ -482,7 +482,7 @@
       raft->applied_index != raft->commit_index ||
       lc_raft_term_at (raft, raft->commit_index) != raft->term)
     return false;
-  start_us = lc_raft__quorum_value (raft, now_us, lc_raft__acked_of);
+  start_us = lc_raft__quorum_value (raft, now_us, lc_raft__acked_sent_of);
   return start_us > 0 && now_us - start_us < lease_us;
 }
 
--- a/src/core/control/lc-raft-log.c
+++ b/src/core/control/lc-raft-log.c
@@ -9,7 +9,7 @@
 }
 
 LcRaftEntry *
-lc_raft__entry (const LcRaft *raft, uint64_t index)
+lc_raft__entry_at (const LcRaft *raft, uint64_t index)
 {
   if (index <= raft->base_index || index > lc_raft_last_index (raft))
     return NULL;
@@ -19,7 +19,7 @@
 uint64_t
 lc_raft_term_at (const LcRaft *raft, uint64_t index)
 {
-  const LcRaftEntry *entry = lc_raft__entry (raft, index);
+  const LcRaftEntry *entry = lc_raft__entry_at (raft, index);
 
   if (entry != NULL)
     return entry->term;
@@ -46,7 +46,7 @@
 
   for (uint64_t i = MIN (index, lc_raft_last_index (raft)); i > raft->base_index; i--)
     {
-      const LcRaftEntry *entry = lc_raft__entry (raft, i);
+      const LcRaftEntry *entry = lc_raft__entry_at (raft, i);
 
       if (entry->kind == LC_RAFT_ENTRY_CONFIG && lc_raft__decode_config (&config, entry))
         return config;
@@ -59,7 +59,7 @@
 {
   raft->config_index = 0;
   for (uint64_t i = lc_raft_last_index (raft); i > raft->base_index; i--)
-    if (lc_raft__entry (raft, i)->kind == LC_RAFT_ENTRY_CONFIG)
+    if (lc_raft__entry_at (raft, i)->kind == LC_RAFT_ENTRY_CONFIG)
       {
         raft->config_index = i;
         break;
@@ -107,7 +107,7 @@
 }
 
 void
-lc_raft__drop_before (LcRaft *raft, uint64_t base_index)
+lc_raft__truncate_before (LcRaft *raft, uint64_t base_index)
 {
   guint n = (guint)(base_index - raft->base_index);
 
--- a/src/core/control/lc-raft-private.h
+++ b/src/core/control/lc-raft-private.h
@@ -16,7 +16,7 @@
 {
   LcRaftMessage message;
   uint64_t after_sequence; /* held back until this write sequence is on disk */
-} LcRaftHeld;
+} LcRaftQueuedMessage;
 
 /* lc-raft.c */
 int64_t lc_raft__election_min_us (const LcRaft *raft);
@@ -28,11 +28,11 @@
 uint32_t lc_raft__quorum (const LcRaft *raft);
 void lc_raft__reset_election_timer (LcRaft *raft);
 /* Whether a leader's lease may still rely on this replica not voting for another candidate. */
-bool lc_raft__is_bound (const LcRaft *raft);
+bool lc_raft__is_in_lease (const LcRaft *raft);
 /* Fresh elections, after a restart of the whole group: see lc-raft-elect.c. */
 void lc_raft__fresh_start (LcRaft *raft);
 void lc_raft__fresh_tick (LcRaft *raft);
-bool lc_raft__may_stand (const LcRaft *raft);
+bool lc_raft__may_campaign (const LcRaft *raft);
 void lc_raft__become_follower (LcRaft *raft, uint64_t term, LcReplicaId leader);
 void lc_raft__become_pre_candidate (LcRaft *raft);
 void lc_raft__count_vote (LcRaft *raft, LcReplicaId voter);
@@ -41,15 +41,15 @@
 void lc_raft__on_timeout_now (LcRaft *raft);
 
 /* lc-raft-log.c */
-LcRaftEntry *lc_raft__entry (const LcRaft *raft, uint64_t index);
+LcRaftEntry *lc_raft__entry_at (const LcRaft *raft, uint64_t index);
 void lc_raft__append (LcRaft *raft, const LcRaftEntry *entry);
 void lc_raft__truncate (LcRaft *raft, uint64_t from_index);
 void lc_raft__refresh_config (LcRaft *raft);
 LcRaftConfig lc_raft__config_at (const LcRaft *raft, uint64_t index);
-void lc_raft__drop_before (LcRaft *raft, uint64_t base_index);
+void lc_raft__truncate_before (LcRaft *raft, uint64_t base_index);
 
 /* lc-raft-leader.c */
-void lc_raft__lead (LcRaft *raft);
+void lc_raft__become_leader (LcRaft *raft);
 void lc_raft__leader_tick (LcRaft *raft);
 void lc_raft__leader_flush (LcRaft *raft);
 void lc_raft__maybe_commit (LcRaft *raft);
@@ -62,7 +62,7 @@
 void lc_raft__on_append (LcRaft *raft, const LcRaftMessage *message);
 void lc_raft__on_snapshot (LcRaft *raft, const LcRaftMessage *message);
 void lc_raft__acknowledge (LcRaft *raft, int64_t sent_us);
-void lc_raft__installed (LcRaft *raft);
+void lc_raft__finish_install (LcRaft *raft);
 void lc_raft__drop_incoming (LcRaft *raft);
 
 #endif /* LC_RAFT_PRIVATE_H */
--- a/src/core/control/lc-raft-types.h
+++ b/src/core/control/lc-raft-types.h
@@ -91,7 +91,7 @@
    * from the first one's index on. */
   typedef struct
   {
-    uint64_t sequence; /* for lc_raft_persisted */
+    uint64_t sequence; /* for lc_raft_mark_persisted */
     bool has_hard_state;
     uint64_t term;
     LcReplicaId vote;
--- a/src/core/control/lc-raft.c
+++ b/src/core/control/lc-raft.c
@@ -17,7 +17,7 @@
 /* === private: clock and defaults ============================================================ */
 
 static uint32_t
-lc_raft__or (uint32_t value, uint32_t fallback)
+lc_raft__or_default (uint32_t value, uint32_t fallback)
 {
   return value != 0 ? value : fallback;
 }
@@ -36,7 +36,7 @@
 
 /* See CLOCKS in the header. */
 static void
-lc_raft__advance (LcRaft *raft, int64_t now_us)
+lc_raft__advance_clock (LcRaft *raft, int64_t now_us)
 {
   int64_t step_us = now_us - raft->now_us;
 
@@ -51,7 +51,7 @@
 void
 lc_raft__send (LcRaft *raft, LcRaftMessage *message)
 {
-  LcRaftHeld held = { .message = *message };
+  LcRaftQueuedMessage held = { .message = *message };
 
   held.message.from = raft->desc.id;
   if (raft->hard_sequence > raft->persisted_sequence)
@@ -60,25 +60,25 @@
 }
 
 static void
-lc_raft__clear_held (gpointer data)
+lc_raft__clear_queued (gpointer data)
 {
-  lc_raft_message_finish (&((LcRaftHeld *)data)->message);
+  lc_raft_message_finish (&((LcRaftQueuedMessage *)data)->message);
 }
 
 /* === public: lifetime ======================================================================= */
 
 static void
-lc_raft__defaults (LcRaftDesc *desc)
+lc_raft__set_defaults (LcRaftDesc *desc)
 {
-  desc->heartbeat_ms = lc_raft__or (desc->heartbeat_ms, LC_RAFT_HEARTBEAT_MS);
-  desc->election_min_ms = lc_raft__or (desc->election_min_ms, LC_RAFT_ELECTION_MIN_MS);
-  desc->election_max_ms = lc_raft__or (desc->election_max_ms, LC_RAFT_ELECTION_MAX_MS);
+  desc->heartbeat_ms = lc_raft__or_default (desc->heartbeat_ms, LC_RAFT_HEARTBEAT_MS);
+  desc->election_min_ms = lc_raft__or_default (desc->election_min_ms, LC_RAFT_ELECTION_MIN_MS);
+  desc->election_max_ms = lc_raft__or_default (desc->election_max_ms, LC_RAFT_ELECTION_MAX_MS);
   desc->election_max_ms = MAX (desc->election_max_ms, desc->election_min_ms);
-  desc->lease_percent = lc_raft__or (desc->lease_percent, LC_RAFT_LEASE_PERCENT);
-  desc->batch_bytes = lc_raft__or (desc->batch_bytes, LC_RAFT_BATCH_BYTES);
-  desc->window_entries = lc_raft__or (desc->window_entries, LC_RAFT_WINDOW_ENTRIES);
-  desc->trailing = lc_raft__or (desc->trailing, LC_RAFT_TRAILING);
-  desc->trailing_bytes = lc_raft__or (desc->trailing_bytes, LC_RAFT_TRAILING_BYTES);
+  desc->lease_percent = lc_raft__or_default (desc->lease_percent, LC_RAFT_LEASE_PERCENT);
+  desc->batch_bytes = lc_raft__or_default (desc->batch_bytes, LC_RAFT_BATCH_BYTES);
+  desc->window_entries = lc_raft__or_default (desc->window_entries, LC_RAFT_WINDOW_ENTRIES);
+  desc->trailing = lc_raft__or_default (desc->trailing, LC_RAFT_TRAILING);
+  desc->trailing_bytes = lc_raft__or_default (desc->trailing_bytes, LC_RAFT_TRAILING_BYTES);
 }
 
 /* Recovered state is already on disk: none of it is handed out for writing. */
@@ -108,13 +108,13 @@
 {
   memset (raft, 0, sizeof *raft);
   raft->desc = *desc;
-  lc_raft__defaults (&raft->desc);
+  lc_raft__set_defaults (&raft->desc);
   raft->random_state = desc->seed ^ desc->id;
   raft->term = desc->term;
   raft->vote = desc->vote;
   raft->log = lc_raft_entries_new ();
-  raft->outbox = g_array_new (FALSE, TRUE, sizeof (LcRaftHeld));
-  g_array_set_clear_func (raft->outbox, lc_raft__clear_held);
+  raft->outbox = g_array_new (FALSE, TRUE, sizeof (LcRaftQueuedMessage));
+  g_array_set_clear_func (raft->outbox, lc_raft__clear_queued);
   lc_raft__load (raft, desc);
   raft->desc.entries = NULL;
   raft->desc.n_entries = 0;
@@ -143,7 +143,7 @@
 void
 lc_raft_tick (LcRaft *raft, int64_t now_us)
 {
-  lc_raft__advance (raft, now_us);
+  lc_raft__advance_clock (raft, now_us);
   if (raft->role == LC_RAFT_LEADER)
     {
       lc_raft__leader_tick (raft);
@@ -152,7 +152,7 @@
   lc_raft__fresh_tick (raft);
   if (raft->clock_us < raft->election_due_clock_us)
     return;
-  if (lc_raft__may_stand (raft))
+  if (lc_raft__may_campaign (raft))
     lc_raft__become_pre_candidate (raft);
   else
     lc_raft__reset_election_timer (raft);
@@ -166,7 +166,7 @@
     {
     case LC_RAFT_VOTE:
       return !m->vote.is_pre && (m->vote.is_transfer || (m->vote.is_fresh && raft->is_fresh) ||
-                                 !lc_raft__is_bound (raft));
+                                 !lc_raft__is_in_lease (raft));
     case LC_RAFT_VOTE_REPLY:
       return !m->vote_reply.is_granted;
     default:
@@ -235,7 +235,7 @@
 {
   bool is_vote = m->kind == LC_RAFT_VOTE || m->kind == LC_RAFT_VOTE_REPLY;
 
-  lc_raft__advance (raft, now_us);
+  lc_raft__advance_clock (raft, now_us);
   if (m->to != raft->desc.id || m->from == raft->desc.id || m->from == 0)
     {
       raft->counters.malformed_total++;
@@ -253,7 +253,7 @@
 void
 lc_raft_suspend (LcRaft *raft, bool is_suspended, int64_t now_us)
 {
-  lc_raft__advance (raft, now_us);
+  lc_raft__advance_clock (raft, now_us);
   if (is_suspended && raft->role != LC_RAFT_FOLLOWER)
     lc_raft__become_follower (raft, raft->term, 0);
   raft->is_suspended = is_suspended;
@@ -271,7 +271,7 @@
   persist->entries = lc_raft_entries_new ();
   for (uint64_t i = raft->dirty_index; i <= last; i++)
     {
-      LcRaftEntry copy = lc_raft_entry_copy (lc_raft__entry (raft, i));
+      LcRaftEntry copy = lc_raft_entry_copy (lc_raft__entry_at (raft, i));
 
       g_array_append_val (persist->entries, copy);
     }
@@ -303,13 +303,13 @@
 }
 
 void
-lc_raft_persisted (LcRaft *raft, uint64_t sequence, int64_t now_us)
+lc_raft_mark_persisted (LcRaft *raft, uint64_t sequence, int64_t now_us)
 {
-  lc_raft__advance (raft, now_us);
+  lc_raft__advance_clock (raft, now_us);
   raft->is_writing = false;
   raft->persisted_sequence = MAX (raft->persisted_sequence, sequence);
   if (raft->is_install_taken)
-    lc_raft__installed (raft);
+    lc_raft__finish_install (raft);
   else
     raft->stable_index = MAX (raft->stable_index, raft->taken_index);
   if (raft->role == LC_RAFT_CANDIDATE && raft->hard_sequence <= raft->persisted_sequence)
@@ -325,12 +325,12 @@
 bool
 lc_raft_take_message (LcRaft *raft, LcRaftMessage *message, int64_t now_us)
 {
-  lc_raft__advance (raft, now_us);
+  lc_raft__advance_clock (raft, now_us);
   if (raft->role == LC_RAFT_LEADER && raft->needs_flush)
     lc_raft__leader_flush (raft);
   for (guint i = 0; i < raft->outbox->len; i++)
     {
-      LcRaftHeld *held = &g_array_index (raft->outbox, LcRaftHeld, i);
+      LcRaftQueuedMessage *held = &g_array_index (raft->outbox, LcRaftQueuedMessage, i);
 
       if (held->after_sequence > raft->persisted_sequence)
         continue;
@@ -362,11 +362,11 @@
 
   if (raft->has_new_snapshot || raft->applied_index >= limit)
     return NULL;
-  return lc_raft__entry (raft, raft->applied_index + 1);
+  return lc_raft__entry_at (raft, raft->applied_index + 1);
 }
 
 void
-lc_raft_applied (LcRaft *raft)
+lc_raft_mark_applied (LcRaft *raft)
 {
   raft->applied_index++;
 }
@@ -390,7 +390,7 @@
 
   while (base > raft->base_index && snapshot_index - base < raft->desc.trailing)
     {
-      const LcRaftEntry *e = lc_raft__entry (raft, base);
+      const LcRaftEntry *e = lc_raft__entry_at (raft, base);
 
       bytes += e->data != NULL ? g_bytes_get_size (e->data) : 0;
       if (bytes > raft->desc.trailing_bytes)
@@ -407,7 +407,7 @@
     return;
   lc_raft_snapshot_finish (&raft->snapshot);
   lc_raft_snapshot_copy (&raft->snapshot, snapshot);
-  lc_raft__drop_before (raft, lc_raft__trailing_base (raft, snapshot->index));
+  lc_raft__truncate_before (raft, lc_raft__trailing_base (raft, snapshot->index));
 }
 
 /* === public: queries ======================================================================== */
@@ -419,7 +419,7 @@
 }
 
 int64_t
-lc_raft_silence_us (const LcRaft *raft)
+lc_raft_leader_silence_us (const LcRaft *raft)
 {
   if (raft->role == LC_RAFT_LEADER)
     return 0;
--- a/src/core/control/lc-raft.h
+++ b/src/core/control/lc-raft.h
@@ -12,11 +12,11 @@
  *     lc_raft_receive (&raft, &message, now_us);          from a peer
  *     lc_raft_propose (&raft, bytes, now_us, &index, &error);
  *     if (lc_raft_take_persist (&raft, &persist))         while no other write is under way
- *       ... write and fsync it, then lc_raft_persisted (&raft, persist.sequence, now_us)
+ *       ... write and fsync it, then lc_raft_mark_persisted (&raft, persist.sequence, now_us)
  *     while (lc_raft_take_message (&raft, &message, now_us))
  *       ... send it, then lc_raft_message_finish (&message)
  *     if (lc_raft_take_snapshot (&raft, &snapshot))       load it into the state machine
- *     while ((entry = lc_raft_next_committed (&raft)))  apply it, then lc_raft_applied (&raft)
+ *     while ((entry = lc_raft_next_committed (&raft)))  apply it, then lc_raft_mark_applied (&raft)
  *     lc_raft_finish (&raft);
  *
  * GUARANTEES
@@ -140,7 +140,7 @@
     uint64_t incoming_index;
     uint64_t incoming_term;
 
-    GArray *outbox; /* LcRaftHeld */
+    GArray *outbox; /* LcRaftQueuedMessage */
     LcRaftProgress progress[LC_RAFT_MEMBERS_MAX];
     uint32_t n_progress;
     LcReplicaId votes[LC_RAFT_MEMBERS_MAX]; /* voters that granted */
@@ -179,17 +179,17 @@
                               int64_t now_us,
                               LcError *error);
   /* Everything handed out up to `sequence` is on disk. */
-  void lc_raft_persisted (LcRaft *raft, uint64_t sequence, int64_t now_us);
+  void lc_raft_mark_persisted (LcRaft *raft, uint64_t sequence, int64_t now_us);
   /* Makes a snapshot at the applied index from the state machine's bytes; write it to disk, then
    * pass it to lc_raft_compact. */
   void lc_raft_make_snapshot (const LcRaft *raft, GBytes *data, LcRaftSnapshot *snapshot);
   /* The snapshot is on disk: discards the log before it, except the trailing entries. */
   void lc_raft_compact (LcRaft *raft, const LcRaftSnapshot *snapshot);
   /* Transfers leadership to the most up-to-date voter, before a planned stop. */
-  void lc_raft_transfer (LcRaft *raft, int64_t now_us);
+  void lc_raft_transfer_leadership (LcRaft *raft, int64_t now_us);
   /* A member is gone for good: a replica without state sends from its address.  It can't be
    * leading, so a fresh election (lc-raft-elect.c) does not need its answer. */
-  void lc_raft_note_ended (LcRaft *raft, LcReplicaId id);
+  void lc_raft_mark_gone (LcRaft *raft, LcReplicaId id);
   /* While its disk is not writable a replica gives up leadership and doesn't campaign. */
   void lc_raft_suspend (LcRaft *raft, bool is_suspended, int64_t now_us);
 
@@ -198,7 +198,7 @@
   bool lc_raft_take_message (LcRaft *raft, LcRaftMessage *message, int64_t now_us);
   bool lc_raft_take_snapshot (LcRaft *raft, LcRaftSnapshot *snapshot);
   const LcRaftEntry *lc_raft_next_committed (const LcRaft *raft);
-  void lc_raft_applied (LcRaft *raft);
+  void lc_raft_mark_applied (LcRaft *raft);
 
   /* Queries. */
   bool lc_raft_can_read (LcRaft *raft, int64_t now_us);
@@ -207,7 +207,7 @@
   /* The term of the entry at `index`; 0 (unknown) before the log's base. */
   uint64_t lc_raft_term_at (const LcRaft *raft, uint64_t index);
   /* Time since the last leader contact: 0 on the leader, -1 if there was none yet. */
-  int64_t lc_raft_silence_us (const LcRaft *raft);
+  int64_t lc_raft_leader_silence_us (const LcRaft *raft);
   const LcRaftProgress *lc_raft_progress (const LcRaft *raft, LcReplicaId id);
   /* The index that `config` is valid as of: its own entry's, or the log's base where it comes from
    * a snapshot. */
--- a/src/core/control/lc-store-private.h
+++ b/src/core/control/lc-store-private.h
@@ -23,6 +23,6 @@
 #define LC_STORE_DISCARD "discard"
 
 /* Records that the newest segment holds entries up to `index`. */
-void lc_store__note_end (LcStore *store, uint64_t index);
+void lc_store__note_segment_end (LcStore *store, uint64_t index);
 
 #endif /* LC_STORE_PRIVATE_H */
--- a/src/core/control/lc-store-recover.c
+++ b/src/core/control/lc-store-recover.c
@@ -4,7 +4,7 @@
 
 #include <xxhash.h>
 
-static const char LC_STORE_REPLACE[] =
+static const char LC_STORE_REPLACE_REMEDY[] =
     "replace this control VM (`lychee plan replace-control-vm`) and start it with an empty data "
     "folder; keep the old folder until that is done";
 
@@ -13,12 +13,12 @@
 static int
 lc_store__corrupt (LcError *error, const char *name, const char *what)
 {
-  return lc_error_set (error, LC_ERR_CORRUPT, LC_STORE_REPLACE, "%s: %s", name, what);
+  return lc_error_set (error, LC_ERR_CORRUPT, LC_STORE_REPLACE_REMEDY, "%s: %s", name, what);
 }
 
 /* Checks checksum, magic and version, and sets the reader behind them. */
 static bool
-lc_store__unseal (const GByteArray *bytes, uint32_t magic, LcBytesReader *reader)
+lc_store__check_file (const GByteArray *bytes, uint32_t magic, LcBytesReader *reader)
 {
   LcBytesReader tail;
   size_t len;
@@ -43,13 +43,13 @@
 }
 
 static int
-lc_store__read_identity (LcStore *store, LcStoreFound *found, LcError *error)
+lc_store__read_identity (LcStore *store, LcStoreRecovered *found, LcError *error)
 {
   GByteArray *bytes = g_byte_array_new ();
   LcBytesReader reader = { 0 };
   int r = store->desc.disk.read (store->desc.disk.user, LC_STORE_IDENTITY, bytes, error);
 
-  if (r == 0 && !lc_store__unseal (bytes, LC_STORE_IDENTITY_MAGIC, &reader))
+  if (r == 0 && !lc_store__check_file (bytes, LC_STORE_IDENTITY_MAGIC, &reader))
     r = lc_store__corrupt (error, LC_STORE_IDENTITY, "its checksum or version does not match");
   if (r == 0)
     {
@@ -70,7 +70,7 @@
   LcBytesReader reader = { 0 };
   int r = store->desc.disk.read (store->desc.disk.user, LC_STORE_SNAPSHOT, bytes, error);
 
-  if (r == 0 && !lc_store__unseal (bytes, LC_STORE_SNAPSHOT_MAGIC, &reader))
+  if (r == 0 && !lc_store__check_file (bytes, LC_STORE_SNAPSHOT_MAGIC, &reader))
     r = lc_store__corrupt (error, LC_STORE_SNAPSHOT, "its checksum or version does not match");
   if (r == 0)
     {
@@ -92,7 +92,7 @@
 typedef struct
 {
   LcStore *store;
-  LcStoreFound *found;
+  LcStoreRecovered *found;
   uint64_t expected_segment;
   const char *name;
   uint64_t last_index; /* newest entry replayed; the next is at most one more */
@@ -115,7 +115,7 @@
   g_array_append_val (entries, copy);
   replay->last_index = entry->index;
   replay->has_entries = true;
-  lc_store__note_end (replay->store, entry->index);
+  lc_store__note_segment_end (replay->store, entry->index);
   return 0;
 }
 
@@ -143,7 +143,7 @@
       g_array_set_size (replay->found->entries, 0);
       replay->last_index = record->reset.index;
       replay->has_entries = true;
-      lc_store__note_end (store, record->reset.index);
+      lc_store__note_segment_end (store, record->reset.index);
       return 0;
     case LC_WAL_COMMIT:
       replay->found->commit_index = MAX (replay->found->commit_index, record->commit_index);
@@ -155,7 +155,8 @@
 /* Truncates the torn end of an unacknowledged write, so that the next write follows valid
  * records. */
 static int
-lc_store__cut_torn (LcStore *store, const char *name, size_t n_whole, size_t len, LcError *error)
+lc_store__truncate_torn (
+    LcStore *store, const char *name, size_t n_whole, size_t len, LcError *error)
 {
   const LcDisk *disk = &store->desc.disk;
   int r = disk->truncate (disk->user, name, n_whole, error);
@@ -170,7 +171,7 @@
 /* Makes the next write start a new segment: one that lost its end may lack the term and vote of its
  * first batch. */
 static void
-lc_store__retire_segment (LcStore *store)
+lc_store__close_segment (LcStore *store)
 {
   store->segment_size = store->desc.segment_bytes;
 }
@@ -193,8 +194,8 @@
   replay->is_empty = n_whole == 0;
   if (r == 0 && n_whole < bytes->len)
     {
-      r = lc_store__cut_torn (store, name, n_whole, bytes->len, error);
-      lc_store__retire_segment (store);
+      r = lc_store__truncate_torn (store, name, n_whole, bytes->len, error);
+      lc_store__close_segment (store);
     }
   g_byte_array_unref (bytes);
   return r;
@@ -208,7 +209,7 @@
 
 /* Removes a segment whose first record never became durable; its number is used again. */
 static int
-lc_store__drop_empty (LcStore *store, const char *name, LcError *error)
+lc_store__remove_empty_segment (LcStore *store, const char *name, LcError *error)
 {
   const LcDisk *disk = &store->desc.disk;
   int r = disk->remove (disk->user, name, error);
@@ -217,12 +218,12 @@
     r = disk->sync_folder (disk->user, error);
   g_array_set_size (store->segment_ends, store->segment_ends->len - 1);
   store->segment_number--;
-  lc_store__retire_segment (store);
+  lc_store__close_segment (store);
   return r;
 }
 
 static int
-lc_store__read_segments (LcStore *store, GPtrArray *names, LcStoreFound *found, LcError *error)
+lc_store__read_segments (LcStore *store, GPtrArray *names, LcStoreRecovered *found, LcError *error)
 {
   LcStoreReplay replay = { .store = store, .found = found };
   int r = 0;
@@ -240,7 +241,7 @@
       replay.expected_segment = number;
       r = lc_store__read_segment (&replay, name, i + 1 == names->len, error);
       if (r == 0 && replay.is_empty)
-        r = lc_store__drop_empty (store, name, error);
+        r = lc_store__remove_empty_segment (store, name, error);
     }
   store->last_index = replay.has_entries ? replay.last_index : 0;
   return r;
@@ -249,7 +250,7 @@
 /* Keeps the entries after the snapshot if they continue it.  Entries that end before it or conflict
  * with it were about to be replaced when the process stopped. */
 static int
-lc_store__join_snapshot (LcStore *store, LcStoreFound *found, LcError *error)
+lc_store__merge_snapshot (LcStore *store, LcStoreRecovered *found, LcError *error)
 {
   GArray *entries = found->entries;
   uint64_t base = found->snapshot.index;
@@ -359,7 +360,7 @@
 }
 
 void
-lc_store_found_finish (LcStoreFound *found)
+lc_store_recovered_finish (LcStoreRecovered *found)
 {
   lc_raft_snapshot_finish (&found->snapshot);
   if (found->entries != NULL)
@@ -369,7 +370,7 @@
 
 static int
 lc_store__recover (
-    LcStore *store, LcStoreFound *found, GPtrArray *segments, bool has_snapshot, LcError *error)
+    LcStore *store, LcStoreRecovered *found, GPtrArray *segments, bool has_snapshot, LcError *error)
 {
   int r = lc_store__read_identity (store, found, error);
 
@@ -378,14 +379,14 @@
   if (r == 0)
     r = lc_store__read_segments (store, segments, found, error);
   if (r == 0)
-    r = lc_store__join_snapshot (store, found, error);
+    r = lc_store__merge_snapshot (store, found, error);
   found->term = store->term;
   found->vote = store->vote;
   return r;
 }
 
 int
-lc_store_open (LcStore *store, LcStoreFound *found, LcError *error)
+lc_store_open (LcStore *store, LcStoreRecovered *found, LcError *error)
 {
   GPtrArray *segments = g_ptr_array_new_with_free_func (g_free);
   bool has_identity = false;
--- a/src/core/control/lc-store.c
+++ b/src/core/control/lc-store.c
@@ -10,7 +10,7 @@
 /* After LC_ERR_FULL the store stays usable; any other error leaves the folder in an unknown
  * state. */
 static int
-lc_store__failed (LcStore *store, int r)
+lc_store__note_failure (LcStore *store, int r)
 {
   if (r == LC_ERR_FULL)
     {
@@ -23,7 +23,7 @@
 }
 
 static int
-lc_store__refuse_broken (const LcStore *store, LcError *error)
+lc_store__check_usable (const LcStore *store, LcError *error)
 {
   if (!store->is_broken)
     return 0;
@@ -36,7 +36,7 @@
 /* === private: whole files =================================================================== */
 
 static void
-lc_store__seal (GByteArray *bytes)
+lc_store__append_checksum (GByteArray *bytes)
 {
   lc_bytes_put_u64 (bytes, XXH3_64bits (bytes->data, bytes->len));
 }
@@ -62,7 +62,7 @@
   if (r == 0)
     r = disk->sync_folder (disk->user, error);
   if (r < 0)
-    return lc_store__failed (store, r);
+    return lc_store__note_failure (store, r);
   store->counters.fsyncs_total += 2;
   store->counters.bytes_total += bytes->len;
   return 0;
@@ -83,10 +83,10 @@
 /* === private: identity ====================================================================== */
 
 static int
-lc_store__put_identity (LcStore *store,
-                        uint64_t cluster,
-                        const LcRaftConfig *initial,
-                        LcError *error)
+lc_store__write_identity (LcStore *store,
+                          uint64_t cluster,
+                          const LcRaftConfig *initial,
+                          LcError *error)
 {
   static const LcRaftConfig NO_MEMBERS;
   GByteArray *bytes = g_byte_array_new ();
@@ -97,7 +97,7 @@
   lc_bytes_put_u64 (bytes, store->replica);
   lc_bytes_put_u64 (bytes, cluster);
   lc_store__put_config (bytes, initial != NULL ? initial : &NO_MEMBERS);
-  lc_store__seal (bytes);
+  lc_store__append_checksum (bytes);
   r = lc_store__replace_file (store, LC_STORE_IDENTITY, bytes, error);
   g_byte_array_unref (bytes);
   return r;
@@ -106,7 +106,7 @@
 /* === private: snapshots ===================================================================== */
 
 static int
-lc_store__put_snapshot (LcStore *store, const LcRaftSnapshot *snapshot, LcError *error)
+lc_store__write_snapshot (LcStore *store, const LcRaftSnapshot *snapshot, LcError *error)
 {
   GByteArray *bytes = g_byte_array_new ();
   gsize len;
@@ -119,7 +119,7 @@
   lc_bytes_put_u64 (bytes, snapshot->term);
   lc_store__put_config (bytes, &snapshot->config);
   g_byte_array_append (bytes, data, (guint)len);
-  lc_store__seal (bytes);
+  lc_store__append_checksum (bytes);
   r = lc_store__replace_file (store, LC_STORE_SNAPSHOT, bytes, error);
   g_byte_array_unref (bytes);
   if (r < 0)
@@ -139,7 +139,7 @@
 }
 
 void
-lc_store__note_end (LcStore *store, uint64_t index)
+lc_store__note_segment_end (LcStore *store, uint64_t index)
 {
   uint64_t *end = &g_array_index (store->segment_ends, uint64_t, store->segment_ends->len - 1);
 
@@ -178,12 +178,12 @@
       store->counters.fsyncs_total += 2;
     }
   g_byte_array_unref (bytes);
-  return r < 0 ? lc_store__failed (store, r) : 0;
+  return r < 0 ? lc_store__note_failure (store, r) : 0;
 }
 
 /* Truncates the current segment to its last confirmed batch. */
 static int
-lc_store__cut_back (LcStore *store, const char *name)
+lc_store__truncate_segment (LcStore *store, const char *name)
 {
   const LcDisk *disk = &store->desc.disk;
   LcError ignored;
@@ -201,7 +201,7 @@
 
   lc_store__segment_name (name, store->segment_number);
   r = disk->append (disk->user, name, bytes->data, bytes->len, error);
-  if (r == LC_ERR_FULL && lc_store__cut_back (store, name) < 0)
+  if (r == LC_ERR_FULL && lc_store__truncate_segment (store, name) < 0)
     r = LC_ERR_IO;
   if (r == 0)
     {
@@ -210,7 +210,7 @@
       r = r < 0 ? LC_ERR_IO : 0;
     }
   if (r < 0)
-    return lc_store__failed (store, r);
+    return lc_store__note_failure (store, r);
   store->segment_size += bytes->len;
   store->next_batch++;
   store->counters.fsyncs_total++;
@@ -243,13 +243,13 @@
 lc_store_format (LcStore *store, LcReplicaId replica, LcError *error)
 {
   store->replica = replica;
-  return lc_store__put_identity (store, 0, NULL, error);
+  return lc_store__write_identity (store, 0, NULL, error);
 }
 
 int
-lc_store_form (LcStore *store, uint64_t cluster, const LcRaftConfig *initial, LcError *error)
+lc_store_set_cluster (LcStore *store, uint64_t cluster, const LcRaftConfig *initial, LcError *error)
 {
-  return lc_store__put_identity (store, cluster, initial, error);
+  return lc_store__write_identity (store, cluster, initial, error);
 }
 
 /* === public: writing ======================================================================== */
@@ -271,7 +271,7 @@
 }
 
 static void
-lc_store__written (LcStore *store, const LcRaftPersist *persist)
+lc_store__note_written (LcStore *store, const LcRaftPersist *persist)
 {
   store->needs_reset = false;
   if (persist->has_hard_state)
@@ -284,17 +284,17 @@
   if (persist->entries != NULL && persist->entries->len > 0)
     store->last_index =
         g_array_index (persist->entries, LcRaftEntry, persist->entries->len - 1).index;
-  lc_store__note_end (store, store->last_index);
+  lc_store__note_segment_end (store, store->last_index);
 }
 
 int
 lc_store_write (LcStore *store, const LcRaftPersist *persist, LcError *error)
 {
   GByteArray *bytes;
-  int r = lc_store__refuse_broken (store, error);
+  int r = lc_store__check_usable (store, error);
 
   if (r == 0 && persist->snapshot.index > 0)
-    r = lc_store__put_snapshot (store, &persist->snapshot, error);
+    r = lc_store__write_snapshot (store, &persist->snapshot, error);
   if (r == 0 && (store->segment_ends->len == 0 || store->segment_size >= store->desc.segment_bytes))
     r = lc_store__begin_segment (store, error);
   if (r < 0)
@@ -305,7 +305,7 @@
     r = lc_store__append (store, bytes, error);
   g_byte_array_unref (bytes);
   if (r == 0)
-    lc_store__written (store, persist);
+    lc_store__note_written (store, persist);
   return r;
 }
 
@@ -334,10 +334,10 @@
 int
 lc_store_save_snapshot (LcStore *store, const LcRaftSnapshot *snapshot, LcError *error)
 {
-  int r = lc_store__refuse_broken (store, error);
+  int r = lc_store__check_usable (store, error);
 
   if (r == 0 && snapshot->index > store->snapshot_index)
-    r = lc_store__put_snapshot (store, snapshot, error);
+    r = lc_store__write_snapshot (store, snapshot, error);
   if (r == 0)
     lc_store__remove_segments (store);
   return r;
--- a/src/core/control/lc-store.h
+++ b/src/core/control/lc-store.h
@@ -12,12 +12,12 @@
  *
  * HOW TO USE IT
  *     lc_store_init (&store, &desc);
- *     lc_store_open (&store, &found, &error);        free with lc_store_found_finish (&found)
+ *     lc_store_open (&store, &found, &error);        free with lc_store_recovered_finish (&found)
  *     lc_store_write (&store, &persist, &error);     one batch, one fsync
  *     lc_store_save_snapshot (&store, &snapshot, &error);
  *     lc_store_finish (&store);
  *   For an empty folder found.replica is 0: the caller chooses an id, calls lc_store_format, and
- *   when the cluster is formed or joined, lc_store_form.
+ *   when the cluster is formed or joined, lc_store_set_cluster.
  *
  * AFTER AN ERROR
  *   LC_ERR_FULL: the batch was rolled back and may be retried.  Any other error: the state of the
@@ -87,17 +87,20 @@
     GArray *entries; /* LcRaftEntry, after the snapshot */
     uint64_t
         commit_index; /* entries up to here are committed, maybe later ones as well; 0: unknown */
-  } LcStoreFound;
+  } LcStoreRecovered;
 
   void lc_store_init (LcStore *store, const LcStoreDesc *desc);
   void lc_store_finish (LcStore *store);
-  int lc_store_open (LcStore *store, LcStoreFound *found, LcError *error);
-  void lc_store_found_finish (LcStoreFound *found);
+  int lc_store_open (LcStore *store, LcStoreRecovered *found, LcError *error);
+  void lc_store_recovered_finish (LcStoreRecovered *found);
   /* Writes the replica id into an empty folder. */
   int lc_store_format (LcStore *store, LcReplicaId replica, LcError *error);
   /* Writes the cluster id and the cluster's first members; `initial` NULL: it joins by a
    * snapshot. */
-  int lc_store_form (LcStore *store, uint64_t cluster, const LcRaftConfig *initial, LcError *error);
+  int lc_store_set_cluster (LcStore *store,
+                            uint64_t cluster,
+                            const LcRaftConfig *initial,
+                            LcError *error);
   /* Empties the folder of a replica that was removed from its cluster.  After a crash the next
    * lc_store_open completes it.  Only lc_store_finish may follow. */
   int lc_store_discard (LcStore *store, LcError *error);
--- a/src/core/control/lc-wal.c
+++ b/src/core/control/lc-wal.c
@@ -10,7 +10,7 @@
   LC_WAL_BATCH_AT = 8,
   LC_WAL_HASH_AT = 16,
   /* Bytes searched for a flipped bit, which costs 8 hashes per byte. */
-  LC_WAL_REPAIR_BYTES_MAX = 16 << 10,
+  LC_WAL_FLIP_SEARCH_BYTES = 16 << 10,
 };
 
 /* === private: header ======================================================================== */
@@ -197,7 +197,7 @@
 }
 
 size_t
-lc_wal_get (LcWalRecord *record, const uint8_t *bytes, size_t len, const char **why)
+lc_wal_read_record (LcWalRecord *record, const uint8_t *bytes, size_t len, const char **why)
 {
   size_t n = lc_wal__check (bytes, len, why);
 
@@ -235,7 +235,7 @@
 
 /* Whether a valid record of a later batch follows. */
 static bool
-lc_wal__is_followed (const uint8_t *bytes, size_t len, uint64_t last_batch)
+lc_wal__has_later_batch (const uint8_t *bytes, size_t len, uint64_t last_batch)
 {
   uint64_t batch = lc_wal__bad_batch (bytes, len, last_batch);
 
@@ -254,9 +254,9 @@
 
 /* Whether flipping a single bit makes the record valid. */
 static bool
-lc_wal__is_flipped (const uint8_t *bytes, size_t len)
+lc_wal__has_flipped_bit (const uint8_t *bytes, size_t len)
 {
-  size_t n = MIN (len, (size_t)LC_WAL_REPAIR_BYTES_MAX);
+  size_t n = MIN (len, (size_t)LC_WAL_FLIP_SEARCH_BYTES);
   uint8_t *copy = g_memdup2 (bytes, n);
   bool is_found = false;
 
@@ -277,22 +277,22 @@
 
 /* LC_ERR_CORRUPT if the invalid record at `at` is corrupt, 0 if it is torn (see the header). */
 static int
-lc_wal__judge (const uint8_t *bytes,
-               size_t len,
-               size_t at,
-               const char *name,
-               bool is_last,
-               uint64_t batch,
-               const char *why,
-               LcError *error)
+lc_wal__check_torn (const uint8_t *bytes,
+                    size_t len,
+                    size_t at,
+                    const char *name,
+                    bool is_last,
+                    uint64_t batch,
+                    const char *why,
+                    LcError *error)
 {
   const char *cause = NULL;
 
   if (!is_last)
     cause = "newer segments follow";
-  else if (lc_wal__is_followed (bytes + at, len - at, batch))
+  else if (lc_wal__has_later_batch (bytes + at, len - at, batch))
     cause = "synced records follow";
-  else if (lc_wal__is_flipped (bytes + at, len - at))
+  else if (lc_wal__has_flipped_bit (bytes + at, len - at))
     cause = "one bit was flipped";
   if (cause == NULL)
     return 0;
@@ -307,7 +307,7 @@
              size_t len,
              const char *name,
              bool is_last,
-             LcWalEach each,
+             LcWalVisitor each,
              void *user,
              size_t *n_whole,
              LcError *error)
@@ -319,12 +319,12 @@
     {
       LcWalRecord record;
       const char *why = "";
-      size_t n = lc_wal_get (&record, bytes + at, len - at, &why);
+      size_t n = lc_wal_read_record (&record, bytes + at, len - at, &why);
       int r;
 
       *n_whole = at;
       if (n == 0)
-        return lc_wal__judge (bytes, len, at, name, is_last, batch, why, error);
+        return lc_wal__check_torn (bytes, len, at, name, is_last, batch, why, error);
       batch = record.batch;
       r = each (user, &record, error);
       lc_wal_record_finish (&record);
