--- a/src/core/control/lc-wal.h
+++ b/src/core/control/lc-wal.h
@@ -11,7 +11,7 @@
  *
  * HOW TO USE IT
  *   Writing: lc_wal_put_entry (bytes, batch, &entry);
- *   Reading: n = lc_wal_get (&record, bytes, len, &why);
+ *   Reading: n = lc_wal_read_record (&record, bytes, len, &why);
  *            n > 0: a valid record of n bytes; 0: there is none, and `why` is the reason.
  *            lc_wal_record_finish (&record) releases its references.
  *
@@ -80,18 +80,19 @@
   void lc_wal_put_reset (GByteArray *out, uint64_t batch, uint64_t index, uint64_t term);
   void lc_wal_put_commit (GByteArray *out, uint64_t batch, uint64_t commit_index);
 
-  size_t lc_wal_get (LcWalRecord *record, const uint8_t *bytes, size_t len, const char **why);
+  size_t
+  lc_wal_read_record (LcWalRecord *record, const uint8_t *bytes, size_t len, const char **why);
   void lc_wal_record_finish (LcWalRecord *record);
 
   /* Calls `each` for every valid record; a negative result ends the scan.  Returns 0 and the number
    * of valid bytes, or LC_ERR_CORRUPT with the position.  `is_last`: the newest segment, which
    * alone may have a torn end. */
-  typedef int (*LcWalEach) (void *user, const LcWalRecord *record, LcError *error);
+  typedef int (*LcWalVisitor) (void *user, const LcWalRecord *record, LcError *error);
   int lc_wal_scan (const uint8_t *bytes,
                    size_t len,
                    const char *name,
                    bool is_last,
-                   LcWalEach each,
+                   LcWalVisitor each,
                    void *user,
                    size_t *n_whole,
                    LcError *error);
--- a/src/core/filter/lc-filter-answer.c
+++ b/src/core/filter/lc-filter-answer.c
@@ -46,7 +46,10 @@
 }
 
 LcCallerAnswer
-lc_filter_answer (LcRefuseReason reason, LcOutcome outcome, int64_t retry_after_us, bool is_query)
+lc_filter_error_answer (LcRefuseReason reason,
+                        LcOutcome outcome,
+                        int64_t retry_after_us,
+                        bool is_query)
 {
   LcCallerAnswer answer = { .outcome = outcome };
 
--- a/src/core/filter/lc-filter-answer.h
+++ b/src/core/filter/lc-filter-answer.h
@@ -23,10 +23,10 @@
     const char *remedy;
   } LcCallerAnswer;
 
-  LcCallerAnswer lc_filter_answer (LcRefuseReason reason,
-                                   LcOutcome outcome,
-                                   int64_t retry_after_us,
-                                   bool is_query);
+  LcCallerAnswer lc_filter_error_answer (LcRefuseReason reason,
+                                         LcOutcome outcome,
+                                         int64_t retry_after_us,
+                                         bool is_query);
 
   /* Whole seconds for Retry-After, rounded up, at least 1. */
   uint32_t lc_filter_answer_seconds (int64_t retry_after_us);
--- a/src/core/filter/lc-filter-attempt.c
+++ b/src/core/filter/lc-filter-attempt.c
@@ -1,13 +1,13 @@
 #include "lc-filter-attempt.h"
 
 static LcAttemptPlan
-lc_filter_attempt__end (LcRefuseReason reason)
+lc_filter_attempt__plan_end (LcRefuseReason reason)
 {
   return (LcAttemptPlan){ .kind = LC_PLAN_END, .reason = reason };
 }
 
 static LcAttemptPlan
-lc_filter_attempt__send (const LcPickTarget *target)
+lc_filter_attempt__plan_send (const LcPickTarget *target)
 {
   return (LcAttemptPlan){
     .kind = LC_PLAN_SEND, .ref = target->ref, .ipv4 = target->ipv4, .peer_port = target->peer_port
@@ -18,7 +18,7 @@
 static LcPickTarget *
 lc_filter_attempt__choose (const LcAttemptPlanning *planning)
 {
-  LcInstance tried[LC_ATTEMPT_MAX];
+  LcInstance tried[LC_ATTEMPTS_MAX];
   uint32_t n_tried = planning->attempt->n_attempts;
 
   for (uint32_t i = 0; i < n_tried; i++)
@@ -36,7 +36,7 @@
 
       if (!target->is_reachable && !target->is_draining &&
           (!is_soon || lc_pick_is_connecting (target, planning->now_us)) &&
-          !lc_attempt_has_tried (planning->attempt, target->ref.instance))
+          !lc_attempts_has_tried (planning->attempt, target->ref.instance))
         return true;
     }
   return false;
@@ -47,27 +47,27 @@
 {
   const LcPickTarget *target;
 
-  if (planning->attempt->n_attempts >= LC_ATTEMPT_MAX)
-    return lc_filter_attempt__end (LC_REFUSE_NO_ENDPOINT);
+  if (planning->attempt->n_attempts >= LC_ATTEMPTS_MAX)
+    return lc_filter_attempt__plan_end (LC_REFUSE_NO_ENDPOINT);
   target = lc_filter_attempt__choose (planning);
   /* When the first of several links is up, all waiting requests would queue at that endpoint. */
   if (target != NULL && lc_pick_is_full (planning->pick, target, planning->now_us) &&
       lc_filter_attempt__may_wait (planning, true))
     return (LcAttemptPlan){ .kind = LC_PLAN_WAIT };
   if (target != NULL)
-    return lc_filter_attempt__send (target);
+    return lc_filter_attempt__plan_send (target);
   if (lc_filter_attempt__may_wait (planning, false))
     return (LcAttemptPlan){ .kind = LC_PLAN_WAIT };
-  return lc_filter_attempt__end (LC_REFUSE_NO_ENDPOINT);
+  return lc_filter_attempt__plan_end (LC_REFUSE_NO_ENDPOINT);
 }
 
 static LcAttemptPlan
-lc_filter_attempt__owner (const LcAttemptPlanning *planning, LcMemberRef owner)
+lc_filter_attempt__plan_owner (const LcAttemptPlanning *planning, LcMemberRef owner)
 {
   const LcEndpoint *e = lc_view_endpoint (planning->view, owner.id);
 
   if (e == NULL || e->instance != owner.instance || e->state == LC_ENDPOINT_LOST)
-    return lc_filter_attempt__end (LC_REFUSE_HELD);
+    return lc_filter_attempt__plan_end (LC_REFUSE_HELD);
   return (LcAttemptPlan){
     .kind = LC_PLAN_SEND, .ref = owner, .ipv4 = e->ipv4, .peer_port = e->peer_port
   };
@@ -76,7 +76,7 @@
 static bool
 lc_filter_attempt__is_free (const LcStep *step)
 {
-  return lc_refuse_is_elsewhere (step->reason);
+  return lc_refuse_retry_is_free (step->reason);
 }
 
 LcAttemptPlan
@@ -84,17 +84,17 @@
 {
   const LcPickTarget *target;
 
-  if (planning->attempt->n_attempts >= LC_ATTEMPT_MAX)
-    return lc_filter_attempt__end (step->reason);
-  if (step->kind == LC_STEP_OWNER)
-    return lc_filter_attempt__owner (planning, step->owner);
+  if (planning->attempt->n_attempts >= LC_ATTEMPTS_MAX)
+    return lc_filter_attempt__plan_end (step->reason);
+  if (step->kind == LC_STEP_TRY_OWNER)
+    return lc_filter_attempt__plan_owner (planning, step->owner);
   target = lc_filter_attempt__choose (planning);
   if (target == NULL && step->reason == LC_REFUSE_LINK_LOST &&
-      lc_filter_attempt__may_wait (planning, false) && lc_retry_take (planning->budget))
+      lc_filter_attempt__may_wait (planning, false) && lc_retry_withdraw (planning->budget))
     return (LcAttemptPlan){ .kind = LC_PLAN_WAIT }; /* links are reconnecting */
   if (target == NULL)
-    return lc_filter_attempt__end (step->reason);
-  if (!lc_filter_attempt__is_free (step) && !lc_retry_take (planning->budget))
-    return lc_filter_attempt__end (step->reason);
-  return lc_filter_attempt__send (target);
+    return lc_filter_attempt__plan_end (step->reason);
+  if (!lc_filter_attempt__is_free (step) && !lc_retry_withdraw (planning->budget))
+    return lc_filter_attempt__plan_end (step->reason);
+  return lc_filter_attempt__plan_send (target);
 }
--- a/src/core/filter/lc-filter-attempt.h
+++ b/src/core/filter/lc-filter-attempt.h
@@ -1,13 +1,13 @@
 /* lc-filter-attempt: decides where the next attempt of a request is sent.
  *
  * WHAT IT IS
- *   Turns a step of lc-attempt into a target, within the retry budget and the remaining endpoints,
+ *   Turns a step of lc-attempts into a target, within the retry budget and the remaining endpoints,
  *   or into the end of the request.
  */
 #ifndef LC_FILTER_ATTEMPT_H
 #define LC_FILTER_ATTEMPT_H
 
-#include "core/request/lc-attempt.h"
+#include "core/request/lc-attempts.h"
 #include "core/request/lc-pick.h"
 #include "core/request/lc-retry.h"
 
@@ -34,7 +34,7 @@
 
   typedef struct
   {
-    const LcAttempt *attempt;
+    const LcAttempts *attempt;
     const LcView *view;
     LcPick *pick;
     LcRetryBudget *budget;
@@ -45,7 +45,7 @@
   /* Plans the first attempt, also after LC_PLAN_WAIT. */
   LcAttemptPlan lc_filter_attempt_first (const LcAttemptPlanning *planning);
 
-  /* Plans the attempt after LC_STEP_RETRY or LC_STEP_OWNER. */
+  /* Plans the attempt after LC_STEP_RETRY or LC_STEP_TRY_OWNER. */
   LcAttemptPlan lc_filter_attempt_next (const LcAttemptPlanning *planning, const LcStep *step);
 
 #ifdef __cplusplus
--- a/src/core/filter/lc-filter-identify.c
+++ b/src/core/filter/lc-filter-identify.c
@@ -35,7 +35,7 @@
 }
 
 static LcFilterVerdict
-lc_identify__bad (const char *message, const char *remedy)
+lc_identify__refuse (const char *message, const char *remedy)
 {
   return (LcFilterVerdict){
     .kind = LC_FILTER_REFUSE, .status = 400, .message = message, .remedy = remedy
@@ -45,16 +45,16 @@
 LcFilterVerdict
 lc_filter_identify (LcFilterRequest *request)
 {
-  size_t prefix_len = strlen (LC_FILTER_ASK_PREFIX);
+  size_t prefix_len = strlen (LC_FILTER_QUERY_PREFIX);
 
   request->id = request->random;
   request->is_query = request->path.len > prefix_len &&
-                      memcmp (request->path.base, LC_FILTER_ASK_PREFIX, prefix_len) == 0;
+                      memcmp (request->path.base, LC_FILTER_QUERY_PREFIX, prefix_len) == 0;
   if (request->key_text.len > LC_FILTER_MAX_KEY || !lc_identify__is_printable (request->key_text))
-    return lc_identify__bad ("the Idempotency-Key is not 1 to 255 printable ASCII characters",
-                             "send a random UUID as the key of each order");
+    return lc_identify__refuse ("the Idempotency-Key is not 1 to 255 printable ASCII characters",
+                                "send a random UUID as the key of each order");
   if (!lc_identify__read_timeout (request))
-    return lc_identify__bad ("Lychee-Timeout-Ms is not a positive number of milliseconds",
-                             "send digits only, for example 2000");
+    return lc_identify__refuse ("Lychee-Timeout-Ms is not a positive number of milliseconds",
+                                "send digits only, for example 2000");
   return (LcFilterVerdict){ .kind = LC_FILTER_PASS };
 }
--- a/src/core/filter/lc-filter-limit.c
+++ b/src/core/filter/lc-filter-limit.c
@@ -9,7 +9,7 @@
 
   if (limit == NULL)
     return (LcFilterVerdict){ .kind = LC_FILTER_PASS };
-  switch (lc_limit_enter (limit, request->caller))
+  switch (lc_limit_acquire (limit, request->caller))
     {
     case LC_LIMIT_OK:
       request->is_limited = true;
--- a/src/core/filter/lc-filter-route.c
+++ b/src/core/filter/lc-filter-route.c
@@ -14,10 +14,10 @@
 /* ".../requests/<32 digits>" is a key itself; ".../requests/<service>/<key text>" has the service's
  * name and the Idempotency-Key as the caller sent it. */
 static LcFilterVerdict
-lc_route__ask (LcFilterRequest *request, const LcView *view)
+lc_route__find_queried_service (LcFilterRequest *request, const LcView *view)
 {
-  const char *rest = request->path.base + strlen (LC_FILTER_ASK_PREFIX);
-  size_t len = request->path.len - strlen (LC_FILTER_ASK_PREFIX);
+  const char *rest = request->path.base + strlen (LC_FILTER_QUERY_PREFIX);
+  size_t len = request->path.len - strlen (LC_FILTER_QUERY_PREFIX);
   const char *slash = memchr (rest, '/', len);
   LcRequestId id;
   char name[LC_NAME_MAX] = { 0 };
@@ -48,7 +48,7 @@
   const LcRoute *route;
 
   if (request->is_query)
-    return lc_route__ask (request, context->view);
+    return lc_route__find_queried_service (request, context->view);
   route = lc_view_route (context->view, request->host.base, request->host.len, request->path.base,
                          request->path.len);
   if (route != NULL)
--- a/src/core/filter/lc-filter.h
+++ b/src/core/filter/lc-filter.h
@@ -39,7 +39,7 @@
     LC_FILTER_MAX_KEY = 255, /* bytes of an Idempotency-Key */
   };
 
-#define LC_FILTER_ASK_PREFIX "/.well-known/lychee/requests/"
+#define LC_FILTER_QUERY_PREFIX "/.well-known/lychee/requests/"
 
   typedef struct
   {
@@ -69,7 +69,7 @@
     const LcService *service;
     uint64_t digest;
     int64_t deadline_us;
-    bool is_limited; /* lc_limit_leave must be called at the end */
+    bool is_limited; /* lc_limit_release must be called at the end */
   } LcFilterRequest;
 
   typedef enum
--- a/src/core/flow/lc-assign.c
+++ b/src/core/flow/lc-assign.c
@@ -9,24 +9,24 @@
   LC_ASSIGN_SPILLOVER_PERMILLE = 100,
   LC_ASSIGN_STATIC_THRESHOLD = 50,
   LC_ASSIGN_SAMPLE = 16,
-  LC_ASSIGN_BYTES_USUAL_PERMILLE = 1150, /* of the mean; byte rates up to this add no load */
+  LC_ASSIGN_BYTES_IGNORED_PERMILLE = 1150, /* of the mean; byte rates up to this add no load */
   LC_ASSIGN_RAMP_FIRST_PERMILLE = 100,
-  LC_ASSIGN_MAX_ELIGIBLE = 64,
+  LC_ASSIGN_MAX_SAMPLE = 64,
 };
 
 #define LC_ASSIGN_RAMP_US (10 * LC_US_PER_S)
-#define LC_ASSIGN_REFUSING_US LC_US_PER_S
+#define LC_ASSIGN_REFUSAL_US LC_US_PER_S
 
 /* === private: peers ========================================================================= */
 
 static uint32_t
-lc_assign__or (uint32_t value, uint32_t when_zero)
+lc_assign__or_default (uint32_t value, uint32_t when_zero)
 {
   return value != 0 ? value : when_zero;
 }
 
 static int
-lc_assign__index (const LcAssign *a, LcEndpointId id)
+lc_assign__find_index (const LcAssign *a, LcEndpointId id)
 {
   uint32_t low = 0;
   uint32_t high = a->n_peers;
@@ -44,9 +44,9 @@
 }
 
 static LcAssignPeer
-lc_assign__peer_of (const LcAssign *a, const LcEndpoint *e, int64_t now_us)
+lc_assign__make_peer (const LcAssign *a, const LcEndpoint *e, int64_t now_us)
 {
-  const LcAssignPeer *known = lc_assign_peer (a, e->id);
+  const LcAssignPeer *known = lc_assign_find_peer (a, e->id);
   LcAssignPeer peer = { .is_accepting = true };
 
   if (known != NULL && known->agent.instance == e->instance)
@@ -91,7 +91,7 @@
 {
   uint64_t flows = lc_assign__flow_load (a, p, now_us);
   uint64_t share = a->desc.byte_permille;
-  uint64_t usual = a->mean_byte_load * LC_ASSIGN_BYTES_USUAL_PERMILLE / 1000U;
+  uint64_t usual = a->mean_byte_load * LC_ASSIGN_BYTES_IGNORED_PERMILLE / 1000U;
   uint64_t bytes;
 
   if (share == 0 || a->mean_byte_load == 0)
@@ -104,7 +104,7 @@
 
 typedef struct
 {
-  uint16_t items[LC_ASSIGN_MAX_ELIGIBLE];
+  uint16_t items[LC_ASSIGN_MAX_SAMPLE];
   uint32_t n;
   uint32_t n_bad;
 } LcAssignEligible;
@@ -118,7 +118,7 @@
 }
 
 static bool
-lc_assign__may_take (LcAssign *a, const LcAssignPeer *p, LcRegionMask regions, int64_t now_us)
+lc_assign__is_eligible (LcAssign *a, const LcAssignPeer *p, LcRegionMask regions, int64_t now_us)
 {
   if (!lc_region_is_in (regions, p->region))
     {
@@ -146,21 +146,21 @@
 /* Of a large service only a sample is compared: self and consecutive peers from a pseudo-random
  * start. */
 static void
-lc_assign__collect (
+lc_assign__sample_eligible (
     LcAssign *a, uint64_t key_hash, LcRegionMask regions, int64_t now_us, LcAssignEligible *out)
 {
-  uint32_t sample = lc_assign__or (a->desc.sample, LC_ASSIGN_SAMPLE);
+  uint32_t sample = lc_assign__or_default (a->desc.sample, LC_ASSIGN_SAMPLE);
   uint32_t start = 0;
-  int self = lc_assign__index (a, a->self_id);
+  int self = lc_assign__find_index (a, a->self_id);
 
   out->n = 0;
   out->n_bad = 0;
   a->failure = LC_DROP_NO_ENDPOINT;
-  if (sample > LC_ASSIGN_MAX_ELIGIBLE)
-    sample = LC_ASSIGN_MAX_ELIGIBLE;
+  if (sample > LC_ASSIGN_MAX_SAMPLE)
+    sample = LC_ASSIGN_MAX_SAMPLE;
   if (a->n_peers > sample)
     start = (uint32_t)((key_hash ^ (++a->draws * UINT64_C (0x9e3779b97f4a7c15))) % a->n_peers);
-  if (self >= 0 && lc_assign__may_take (a, &a->peers[self], regions, now_us))
+  if (self >= 0 && lc_assign__is_eligible (a, &a->peers[self], regions, now_us))
     {
       out->items[out->n++] = (uint16_t)self;
       out->n_bad += a->peers[self].looks_bad;
@@ -169,7 +169,7 @@
     {
       uint32_t i = (start + k) % a->n_peers;
 
-      if ((int)i == self || !lc_assign__may_take (a, &a->peers[i], regions, now_us))
+      if ((int)i == self || !lc_assign__is_eligible (a, &a->peers[i], regions, now_us))
         continue;
       out->items[out->n++] = (uint16_t)i;
       out->n_bad += a->peers[i].looks_bad;
@@ -178,7 +178,7 @@
 
 /* A bad health signal of most endpoints is more likely wrong than right: none is excluded then. */
 static void
-lc_assign__drop_bad (const LcAssign *a, LcAssignEligible *e)
+lc_assign__exclude_bad (const LcAssign *a, LcAssignEligible *e)
 {
   uint32_t n = 0;
 
@@ -191,7 +191,7 @@
 }
 
 static void
-lc_assign__find_means (LcAssign *a, const LcAssignEligible *e, int64_t now_us)
+lc_assign__compute_means (LcAssign *a, const LcAssignEligible *e, int64_t now_us)
 {
   a->mean_flow_load = 0;
   a->mean_byte_load = 0;
@@ -205,7 +205,7 @@
 /* === private: policies ====================================================================== */
 
 static int
-lc_assign__lowest (const LcAssign *a, const LcAssignEligible *e, LcDcId dc, int64_t now_us)
+lc_assign__find_lowest (const LcAssign *a, const LcAssignEligible *e, LcDcId dc, int64_t now_us)
 {
   uint64_t best_load = UINT64_MAX;
   int best = -1;
@@ -226,19 +226,20 @@
 
 /* Few enough requests at work that one more most likely gets a free slot at once. */
 static bool
-lc_assign__has_room (const LcAssign *a, const LcAssignPeer *p)
+lc_assign__has_free_slots (const LcAssign *a, const LcAssignPeer *p)
 {
   return (uint64_t)p->at_work * 1000U < (uint64_t)p->slots * a->desc.near_permille;
 }
 
 static int
-lc_assign__least (const LcAssign *a, const LcAssignEligible *e, LcDcId dc, int64_t now_us)
+lc_assign__choose_least (const LcAssign *a, const LcAssignEligible *e, LcDcId dc, int64_t now_us)
 {
-  uint64_t permille = lc_assign__or (a->desc.tolerance_permille, LC_ASSIGN_TOLERANCE_PERMILLE);
-  uint64_t flows = lc_assign__or (a->desc.tolerance_flows, LC_ASSIGN_TOLERANCE_FLOWS);
-  uint64_t spill = lc_assign__or (a->desc.spillover_permille, LC_ASSIGN_SPILLOVER_PERMILLE);
-  int best = lc_assign__lowest (a, e, 0, now_us);
-  int near = lc_assign__lowest (a, e, dc, now_us);
+  uint64_t permille =
+      lc_assign__or_default (a->desc.tolerance_permille, LC_ASSIGN_TOLERANCE_PERMILLE);
+  uint64_t flows = lc_assign__or_default (a->desc.tolerance_flows, LC_ASSIGN_TOLERANCE_FLOWS);
+  uint64_t spill = lc_assign__or_default (a->desc.spillover_permille, LC_ASSIGN_SPILLOVER_PERMILLE);
+  int best = lc_assign__find_lowest (a, e, 0, now_us);
+  int near = lc_assign__find_lowest (a, e, dc, now_us);
   const LcAssignPeer *self;
   uint64_t best_load;
   uint64_t self_load;
@@ -249,7 +250,7 @@
   best_load = lc_assign__load (a, &a->peers[best], now_us);
   if (near >= 0 &&
       (lc_assign__load (a, &a->peers[near], now_us) * 1000U <= best_load * (1000U + spill) ||
-       lc_assign__has_room (a, &a->peers[near])))
+       lc_assign__has_free_slots (a, &a->peers[near])))
     best = near;
   if (a->peers[e->items[0]].agent.id != a->self_id)
     return best;
@@ -268,7 +269,7 @@
 }
 
 static int
-lc_assign__by_hash (const LcAssignEligible *e, uint64_t key_hash, uint32_t choice)
+lc_assign__choose_by_hash (const LcAssignEligible *e, uint64_t key_hash, uint32_t choice)
 {
   uint64_t x = (key_hash + choice) * UINT64_C (0x9e3779b97f4a7c15);
 
@@ -276,13 +277,13 @@
 }
 
 static int
-lc_assign__lower_of_two (const LcAssign *a,
-                         const LcAssignEligible *e,
-                         uint64_t key_hash,
-                         int64_t now_us)
+lc_assign__choose_of_two (const LcAssign *a,
+                          const LcAssignEligible *e,
+                          uint64_t key_hash,
+                          int64_t now_us)
 {
-  int first = lc_assign__by_hash (e, key_hash, 1);
-  int second = lc_assign__by_hash (e, key_hash, 2);
+  int first = lc_assign__choose_by_hash (e, key_hash, 1);
+  int second = lc_assign__choose_by_hash (e, key_hash, 2);
 
   return lc_assign__load (a, &a->peers[second], now_us) <
                  lc_assign__load (a, &a->peers[first], now_us)
@@ -293,10 +294,13 @@
 /* SRLB: the first of two choices by hash takes the flow if its load is below a threshold, else the
  * second does. */
 static int
-lc_assign__srlb (const LcAssign *a, const LcAssignEligible *e, uint64_t key_hash, int64_t now_us)
+lc_assign__choose_srlb (const LcAssign *a,
+                        const LcAssignEligible *e,
+                        uint64_t key_hash,
+                        int64_t now_us)
 {
-  int first = lc_assign__by_hash (e, key_hash, 1);
-  uint64_t threshold = lc_assign__or (a->desc.static_threshold, LC_ASSIGN_STATIC_THRESHOLD);
+  int first = lc_assign__choose_by_hash (e, key_hash, 1);
+  uint64_t threshold = lc_assign__or_default (a->desc.static_threshold, LC_ASSIGN_STATIC_THRESHOLD);
   uint64_t total = 0;
 
   if (a->desc.policy == LC_ASSIGN_SRLB_DYNAMIC)
@@ -308,7 +312,7 @@
     }
   if (lc_assign__load (a, &a->peers[first], now_us) <= threshold * 1000U)
     return first;
-  return lc_assign__by_hash (e, key_hash, 2);
+  return lc_assign__choose_by_hash (e, key_hash, 2);
 }
 
 /* === public ================================================================================= */
@@ -334,7 +338,7 @@
   LcAssignPeer *peers = g_new0 (LcAssignPeer, n + 1);
 
   for (uint32_t i = 0; i < n; i++)
-    peers[i] = lc_assign__peer_of (a, &service->endpoints[i], now_us);
+    peers[i] = lc_assign__make_peer (a, &service->endpoints[i], now_us);
   g_free (a->peers);
   a->peers = peers;
   a->n_peers = n;
@@ -342,7 +346,7 @@
 }
 
 void
-lc_assign_set_places (LcAssign *a, const LcView *view)
+lc_assign_update_dcs (LcAssign *a, const LcView *view)
 {
   for (uint32_t i = 0; i < a->n_peers; i++)
     {
@@ -352,17 +356,17 @@
 }
 
 LcAssignPeer *
-lc_assign_peer (const LcAssign *a, LcEndpointId id)
+lc_assign_find_peer (const LcAssign *a, LcEndpointId id)
 {
-  int i = lc_assign__index (a, id);
+  int i = lc_assign__find_index (a, id);
 
   return i >= 0 ? &a->peers[i] : NULL;
 }
 
 void
-lc_assign_report (LcAssign *a, const LcFlowLoad *load, int64_t now_us)
+lc_assign_record_load (LcAssign *a, const LcFlowLoad *load, int64_t now_us)
 {
-  LcAssignPeer *p = lc_assign_peer (a, load->agent.id);
+  LcAssignPeer *p = lc_assign_find_peer (a, load->agent.id);
 
   if (p == NULL || p->agent.instance != load->agent.instance)
     return;
@@ -377,16 +381,16 @@
 }
 
 void
-lc_assign_refused (LcAssign *a, LcEndpointId id, int64_t now_us)
+lc_assign_record_refusal (LcAssign *a, LcEndpointId id, int64_t now_us)
 {
-  LcAssignPeer *p = lc_assign_peer (a, id);
+  LcAssignPeer *p = lc_assign_find_peer (a, id);
 
   if (p != NULL)
-    p->refusing_until_us = now_us + LC_ASSIGN_REFUSING_US;
+    p->refusing_until_us = now_us + LC_ASSIGN_REFUSAL_US;
 }
 
 bool
-lc_assign_may_leave_out_self (LcAssign *a, LcRegionMask regions, int64_t now_us)
+lc_assign_may_exclude_self (LcAssign *a, LcRegionMask regions, int64_t now_us)
 {
   uint32_t n_good = 0;
   uint32_t n_bad = 0;
@@ -396,7 +400,7 @@
       const LcAssignPeer *p = &a->peers[i];
       bool is_bad = p->looks_bad || p->agent.id == a->self_id;
 
-      if (is_bad || lc_assign__may_take (a, p, regions, now_us))
+      if (is_bad || lc_assign__is_eligible (a, p, regions, now_us))
         *(is_bad ? &n_bad : &n_good) += 1;
     }
   return n_good >= n_bad;
@@ -413,7 +417,7 @@
 
   if (p->joined_us == 0 || p->is_warm || age_us >= ramp_us)
     return capacity != 0 ? capacity : 1;
-  first = lc_assign__or (a->desc.ramp_first_permille, LC_ASSIGN_RAMP_FIRST_PERMILLE);
+  first = lc_assign__or_default (a->desc.ramp_first_permille, LC_ASSIGN_RAMP_FIRST_PERMILLE);
   permille = first + (1000 - first) * (age_us > 0 ? age_us : 0) / ramp_us;
   capacity = (uint32_t)(capacity * permille / 1000);
   return capacity != 0 ? capacity : 1;
@@ -424,29 +428,29 @@
 {
   LcAssignEligible e;
 
-  lc_assign__collect (a, key_hash, regions, now_us, &e);
-  lc_assign__drop_bad (a, &e);
+  lc_assign__sample_eligible (a, key_hash, regions, now_us, &e);
+  lc_assign__exclude_bad (a, &e);
   if (e.n == 0)
     return -1;
   if (a->desc.byte_permille != 0)
-    lc_assign__find_means (a, &e, now_us);
+    lc_assign__compute_means (a, &e, now_us);
   switch (a->desc.policy)
     {
     case LC_ASSIGN_HASH:
       return e.items[0]; /* the assigner itself, which is the first home */
     case LC_ASSIGN_SRLB_STATIC:
     case LC_ASSIGN_SRLB_DYNAMIC:
-      return lc_assign__srlb (a, &e, key_hash, now_us);
+      return lc_assign__choose_srlb (a, &e, key_hash, now_us);
     case LC_ASSIGN_TWO_CHOICES:
-      return lc_assign__lower_of_two (a, &e, key_hash, now_us);
-    case LC_ASSIGN_LEAST:
+      return lc_assign__choose_of_two (a, &e, key_hash, now_us);
+    case LC_ASSIGN_LEAST_LOAD:
     default:
-      return lc_assign__least (a, &e, dc, now_us);
+      return lc_assign__choose_least (a, &e, dc, now_us);
     }
 }
 
 void
-lc_assign_note (LcAssign *a, int index)
+lc_assign_count_flow (LcAssign *a, int index)
 {
   a->peers[index].open_flows++;
   a->peers[index].at_work++; /* a caller opens a flow to send a request */
--- a/src/core/flow/lc-assign.h
+++ b/src/core/flow/lc-assign.h
@@ -21,10 +21,10 @@
  *     LcAssign assign;
  *     lc_assign_init (&assign, &desc);
  *     lc_assign_set_members (&assign, service, self_id, now_us);     after each view change
- *     lc_assign_set_places (&assign, view);                          likewise
- *     lc_assign_report (&assign, &load, now_us);                a peer's load report
+ *     lc_assign_update_dcs (&assign, view);                          likewise
+ *     lc_assign_record_load (&assign, &load, now_us);                a peer's load report
  *     int i = lc_assign_choose (&assign, hash, dc, regions, now_us); -1: none, see assign.failure
- *     lc_assign_note (&assign, i);                             until its next report
+ *     lc_assign_count_flow (&assign, i);                             until its next report
  *     lc_assign_finish (&assign);
  *
  * LIFETIME
@@ -44,7 +44,7 @@
   /* All but LEAST are baselines for benchmarks. */
   typedef enum
   {
-    LC_ASSIGN_LEAST = 0,        /* self unless the lowest is lower by a tolerance */
+    LC_ASSIGN_LEAST_LOAD = 0,   /* self unless the lowest is lower by a tolerance */
     LC_ASSIGN_HASH = 1,         /* the first home, regardless of load */
     LC_ASSIGN_SRLB_STATIC = 2,  /* first home below a fixed load, else the second */
     LC_ASSIGN_SRLB_DYNAMIC = 3, /* the same with a threshold that follows the load */
@@ -71,10 +71,10 @@
   /* Whether an agent's table has every flow that its backend server holds (lc-flow-finder.h). */
   typedef enum
   {
-    LC_FLOW_KNOWS_UNSAID = 0,
-    LC_FLOW_KNOWS_ALL = 1,
-    LC_FLOW_KNOWS_SOME = 2,
-  } LcFlowKnowledge;
+    LC_FLOW_COVERAGE_UNKNOWN = 0,
+    LC_FLOW_COVERAGE_FULL = 1,
+    LC_FLOW_COVERAGE_PARTIAL = 2,
+  } LcFlowCoverage;
 
   /* The load report that an agent sends to the other agents of its service. */
   typedef struct
@@ -87,7 +87,7 @@
     bool is_accepting;  /* false: leaving, or at its limit */
     bool looks_bad;     /* its backend server fails its health check or its requests */
     bool is_warm;       /* its agent restarted beside a running backend server: no slow start */
-    LcFlowKnowledge coverage;
+    LcFlowCoverage coverage;
   } LcFlowLoad;
 
   typedef struct
@@ -112,7 +112,7 @@
     bool is_accepting;
     bool looks_bad;
     bool is_warm;
-    LcFlowKnowledge coverage;
+    LcFlowCoverage coverage;
   } LcAssignPeer;
 
   typedef struct
@@ -134,20 +134,20 @@
                               LcEndpointId self_id,
                               int64_t now_us);
   /* Copies from the view, for each member, its data centre's region and whether it is evacuated. */
-  void lc_assign_set_places (LcAssign *assign, const LcView *view);
-  LcAssignPeer *lc_assign_peer (const LcAssign *assign, LcEndpointId id);
-  void lc_assign_report (LcAssign *assign, const LcFlowLoad *load, int64_t now_us);
+  void lc_assign_update_dcs (LcAssign *assign, const LcView *view);
+  LcAssignPeer *lc_assign_find_peer (const LcAssign *assign, LcEndpointId id);
+  void lc_assign_record_load (LcAssign *assign, const LcFlowLoad *load, int64_t now_us);
   /* The endpoint refused a flow: it is excluded for a second. */
-  void lc_assign_refused (LcAssign *assign, LcEndpointId id, int64_t now_us);
+  void lc_assign_record_refusal (LcAssign *assign, LcEndpointId id, int64_t now_us);
   /* Index into `peers` of an endpoint in one of these regions, or -1. */
   int lc_assign_choose (
       LcAssign *assign, uint64_t key_hash, LcDcId dc, LcRegionMask regions, int64_t now_us);
   /* Counts a flow just assigned to this peer. */
-  void lc_assign_note (LcAssign *assign, int index);
+  void lc_assign_count_flow (LcAssign *assign, int index);
 
   /* Whether, with this one as bad, at least as many good eligible endpoints remain as bad ones: the
    * rule of lc_assign_choose, for an endpoint that was chosen before its state was known. */
-  bool lc_assign_may_leave_out_self (LcAssign *assign, LcRegionMask regions, int64_t now_us);
+  bool lc_assign_may_exclude_self (LcAssign *assign, LcRegionMask regions, int64_t now_us);
   /* Capacity in thousandths of an endpoint of weight 100 %, slow start included. */
   uint32_t lc_assign_capacity (const LcAssign *assign, const LcAssignPeer *peer, int64_t now_us);
 
--- a/src/core/flow/lc-candidates.c
+++ b/src/core/flow/lc-candidates.c
@@ -55,7 +55,7 @@
 /* Binary search by id.  A linear search of 15 former sets of 2,000 endpoints took 50 ms at each
  * change of the view (now 2 ms, one core). */
 static const LcEndpoint *
-lc_candidates__find (const LcService *s, LcEndpointId id)
+lc_candidates__find_endpoint (const LcService *s, LcEndpointId id)
 {
   uint32_t low = 0;
   uint32_t high = s->n_endpoints;
@@ -76,7 +76,7 @@
 static bool
 lc_candidates__is_gone (const LcService *s, const LcEndpoint *former)
 {
-  const LcEndpoint *now = lc_candidates__find (s, former->id);
+  const LcEndpoint *now = lc_candidates__find_endpoint (s, former->id);
 
   return now == NULL || now->instance != former->instance || now->state == LC_ENDPOINT_LOST;
 }
@@ -118,7 +118,7 @@
 }
 
 static uint32_t
-lc_candidates__room (const LcService *s)
+lc_candidates__count_endpoints (const LcService *s)
 {
   uint32_t n = s->n_endpoints;
 
@@ -140,7 +140,7 @@
     return;
   sets->service_id = service->id;
   sets->membership_revision = service->membership_revision;
-  sets->members = g_new0 (LcSetMember, lc_candidates__room (service) + 1);
+  sets->members = g_new0 (LcSetMember, lc_candidates__count_endpoints (service) + 1);
   current = lc_candidates__begin_set (sets, UINT64_MAX);
   for (uint32_t i = 0; i < service->n_endpoints; i++)
     if (lc_endpoint_is_candidate (&service->endpoints[i]))
@@ -155,7 +155,7 @@
 }
 
 void
-lc_candidate_sets_place (LcCandidateSets *sets, const LcView *view)
+lc_candidate_sets_set_regions (LcCandidateSets *sets, const LcView *view)
 {
   for (uint32_t i = 0; i < sets->n_members; i++)
     sets->members[i].region = lc_view_region (view, sets->members[i].dc);
@@ -181,12 +181,12 @@
 /* Inlined with constant `is_weighted` and `regions` where flows may go anywhere, so that the loop
  * has no branch for them. */
 static inline __attribute__ ((always_inline)) uint32_t
-lc_candidates__top (const LcSetMember *members,
-                    uint32_t n,
-                    uint64_t key_hash,
-                    bool is_weighted,
-                    LcRegionMask regions,
-                    const LcSetMember *homes[LC_HOMES])
+lc_candidates__find_top_two (const LcSetMember *members,
+                             uint32_t n,
+                             uint64_t key_hash,
+                             bool is_weighted,
+                             LcRegionMask regions,
+                             const LcSetMember *homes[LC_HOMES])
 {
   uint64_t first = 0;
   uint64_t second = 0;
@@ -222,22 +222,23 @@
   const LcSetMember *members = &sets->members[set->first];
 
   if (regions != LC_REGIONS_ALL)
-    return lc_candidates__top (members, set->n, key_hash, set->is_weighted, regions, homes);
+    return lc_candidates__find_top_two (members, set->n, key_hash, set->is_weighted, regions,
+                                        homes);
   if (set->is_weighted)
-    return lc_candidates__top (members, set->n, key_hash, true, LC_REGIONS_ALL, homes);
-  return lc_candidates__top (members, set->n, key_hash, false, LC_REGIONS_ALL, homes);
+    return lc_candidates__find_top_two (members, set->n, key_hash, true, LC_REGIONS_ALL, homes);
+  return lc_candidates__find_top_two (members, set->n, key_hash, false, LC_REGIONS_ALL, homes);
 }
 
 /* The highest-scoring member of the newest set in these regions except `other`; in `dc` only if
  * `is_inside`, suspect ones only if `is_any`. */
 static const LcSetMember *
-lc_candidates__best (const LcCandidateSets *sets,
-                     uint64_t key_hash,
-                     LcDcId dc,
-                     bool is_inside,
-                     bool is_any,
-                     LcRegionMask regions,
-                     const LcSetMember *other)
+lc_candidates__find_best (const LcCandidateSets *sets,
+                          uint64_t key_hash,
+                          LcDcId dc,
+                          bool is_inside,
+                          bool is_any,
+                          LcRegionMask regions,
+                          const LcSetMember *other)
 {
   const LcCandidateSet *set = &sets->sets[0];
   const LcSetMember *best = NULL;
@@ -258,11 +259,11 @@
 }
 
 uint32_t
-lc_candidates_near_homes (const LcCandidateSets *sets,
-                          uint64_t key_hash,
-                          LcDcId dc,
-                          LcRegionMask regions,
-                          const LcSetMember *homes[LC_HOMES])
+lc_candidates_local_homes (const LcCandidateSets *sets,
+                           uint64_t key_hash,
+                           LcDcId dc,
+                           LcRegionMask regions,
+                           const LcSetMember *homes[LC_HOMES])
 {
   uint32_t n = 0;
 
@@ -270,12 +271,12 @@
     {
       const LcSetMember *before = n > 0 ? homes[n - 1] : NULL;
       const LcSetMember *best =
-          lc_candidates__best (sets, key_hash, dc, true, false, regions, before);
+          lc_candidates__find_best (sets, key_hash, dc, true, false, regions, before);
 
       if (best == NULL)
-        best = lc_candidates__best (sets, key_hash, dc, false, false, regions, before);
+        best = lc_candidates__find_best (sets, key_hash, dc, false, false, regions, before);
       if (best == NULL)
-        best = lc_candidates__best (sets, key_hash, dc, false, true, regions, before);
+        best = lc_candidates__find_best (sets, key_hash, dc, false, true, regions, before);
       if (best == NULL)
         break;
       homes[n++] = best;
@@ -284,7 +285,7 @@
 }
 
 static uint8_t
-lc_candidates__index (const LcCandidateList *list, const LcCandidate *candidate)
+lc_candidates__index_of (const LcCandidateList *list, const LcCandidate *candidate)
 {
   uint8_t i = 0;
 
@@ -297,7 +298,7 @@
 static uint8_t
 lc_candidates__add (LcCandidateList *list, const LcCandidate *candidate, uint8_t limit)
 {
-  uint8_t i = lc_candidates__index (list, candidate);
+  uint8_t i = lc_candidates__index_of (list, candidate);
 
   if (i == list->n && list->n < limit)
     list->items[list->n++] = *candidate;
--- a/src/core/flow/lc-candidates.h
+++ b/src/core/flow/lc-candidates.h
@@ -15,7 +15,7 @@
  *     LcCandidateSets sets = { 0 };
  *     lc_candidate_sets_compile (&sets, lc_view_service (&view, id));
  *     LcCandidateList list;
- *     lc_candidate_sets_place (&sets, &view);
+ *     lc_candidate_sets_set_regions (&sets, &view);
  *     lc_candidates_pick (&sets, lc_flow_key_hash (&key), LC_REGIONS_ALL, &list);
  *     lc_candidate_sets_finish (&sets);
  *
@@ -58,8 +58,8 @@
     uint64_t seed; /* hash of the endpoint's id */
     uint16_t weight_percent;
     LcDcId dc;
-    uint8_t region;  /* lc_view_region; LC_REGION_NONE until lc_candidate_sets_place */
-    bool is_suspect; /* by lc-reach.h: a home only if others are too few */
+    uint8_t region;  /* lc_view_region; LC_REGION_NONE until lc_candidate_sets_set_regions */
+    bool is_suspect; /* by lc-probe-detector.h: a home only if others are too few */
   } LcSetMember;
 
   typedef struct
@@ -92,7 +92,7 @@
   /* Replaces the sets.  Former members that are gone from the service are left out. */
   void lc_candidate_sets_compile (LcCandidateSets *sets, const LcService *service);
   /* Sets the members' regions: required before a choice that is kept to regions. */
-  void lc_candidate_sets_place (LcCandidateSets *sets, const LcView *view);
+  void lc_candidate_sets_set_regions (LcCandidateSets *sets, const LcView *view);
   void lc_candidate_sets_copy (LcCandidateSets *to, const LcCandidateSets *from);
   void lc_candidate_sets_finish (LcCandidateSets *sets);
 
@@ -112,11 +112,11 @@
   /* Homes in the newest set for a flow whose packets come in at `dc`: endpoints there first, then
    * others, suspect ones last.  Where the owner is found without a settled list (lc-flow-return),
    * packets, pointers and flows stay inside the data centre. */
-  uint32_t lc_candidates_near_homes (const LcCandidateSets *sets,
-                                     uint64_t key_hash,
-                                     LcDcId dc,
-                                     LcRegionMask regions,
-                                     const LcSetMember *homes[LC_HOMES]);
+  uint32_t lc_candidates_local_homes (const LcCandidateSets *sets,
+                                      uint64_t key_hash,
+                                      LcDcId dc,
+                                      LcRegionMask regions,
+                                      const LcSetMember *homes[LC_HOMES]);
 
   static inline bool
   lc_candidate_equal (const LcCandidate *a, const LcCandidate *b)
--- a/src/core/flow/lc-retarget.h
+++ b/src/core/flow/lc-dnat.h
@@ -1,4 +1,4 @@
-/* lc-retarget: destination NAT of a caller's packet.
+/* lc-dnat: destination NAT of a caller's packet.
  *
  * WHAT IT IS
  *   Rewrites the destination address and port of a parsed IPv4 packet in place.  The IPv4 and the
@@ -7,10 +7,10 @@
  *
  * HOW TO USE IT
  *     if (lc_packet_parse (&packet, bytes, len) == 0)
- *       lc_packet_retarget (bytes, &packet, backend_ipv4, backend_port);
+ *       lc_dnat_rewrite (bytes, &packet, backend_ipv4, backend_port);
  */
-#ifndef LC_RETARGET_H
-#define LC_RETARGET_H
+#ifndef LC_DNAT_H
+#define LC_DNAT_H
 
 #include "lc-flow-key.h"
 
@@ -19,10 +19,10 @@
 {
 #endif
 
-  void lc_packet_retarget (uint8_t *bytes, const LcPacket *packet, uint32_t ipv4, uint16_t port);
+  void lc_dnat_rewrite (uint8_t *bytes, const LcPacket *packet, uint32_t ipv4, uint16_t port);
 
 #ifdef __cplusplus
 }
 #endif
 
-#endif /* LC_RETARGET_H */
+#endif /* LC_DNAT_H */
--- a/src/core/flow/lc-envelope.c
+++ b/src/core/flow/lc-envelope.c
@@ -101,7 +101,7 @@
 }
 
 static bool
-lc_envelope__is_sound (const LcEnvelope *e)
+lc_envelope__is_valid (const LcEnvelope *e)
 {
   return e->mode >= LC_MODE_WALK && e->mode <= LC_MODE_FIND && e->n > 0 &&
          e->n <= LC_CANDIDATES_MAX + 2 && e->hop < e->n && e->assigner < e->n &&
@@ -122,7 +122,7 @@
     return LC_ERR_TRUNCATED;
   memset (e, 0, sizeof *e);
   lc_envelope__read_fixed (e, &p);
-  if (!lc_envelope__is_sound (e))
+  if (!lc_envelope__is_valid (e))
     return LC_ERR_CORRUPT;
   if (len < LC_ENVELOPE_FIXED_BYTES + (size_t)e->n * LC_ENVELOPE_CANDIDATE_BYTES)
     return LC_ERR_TRUNCATED;
--- a/src/core/flow/lc-flow-agent-packet.c
+++ b/src/core/flow/lc-flow-agent-packet.c
@@ -1,5 +1,5 @@
 #include "lc-flow-agent-private.h"
-#include "lc-flow-list.h"
+#include "lc-envelope-list.h"
 #include "lc-flow-pointers.h"
 
 #include <string.h>
@@ -27,7 +27,7 @@
 }
 
 bool
-lc_flow_agent__is_home (const LcFlowAgent *a, const LcFlowKey *key)
+lc_flow_agent__is_in_home_region (const LcFlowAgent *a, const LcFlowKey *key)
 {
   LcRegionMask regions = lc_flow_agent__home_regions (a, key);
 
@@ -40,16 +40,16 @@
   return (LcSteerSelf){ .agent = a->desc.self,
                         .service_id = a->desc.service_id,
                         .is_leaving = a->is_leaving || lc_flow_agent__is_evacuated (a) ||
-                                      !lc_flow_agent__is_home (a, key),
+                                      !lc_flow_agent__is_in_home_region (a, key),
                         .is_full = lc_flow_agent_open_flows (a) >= a->desc.connection_limit,
                         .is_cut_off = a->is_cut_off,
                         .is_settled = lc_candidate_sets_settled (&a->sets) };
 }
 
-LcSteerKnown
-lc_flow_agent__known (const LcFlowAgent *a, const LcFlow *f)
+LcSteerEntry
+lc_flow_agent__describe_entry (const LcFlowAgent *a, const LcFlow *f)
 {
-  LcSteerKnown known = { .kind = LC_FLOW_FREE };
+  LcSteerEntry known = { .kind = LC_FLOW_FREE };
 
   if (f == NULL)
     return known;
@@ -67,17 +67,18 @@
 bool
 lc_flow_agent__is_accepting (const LcFlowAgent *a)
 {
-  if (lc_flow_agent__is_evacuated (a) || a->is_leaving || a->backend == LC_FLOW_BACKEND_NONE ||
-      (a->backend == LC_FLOW_BACKEND_ASKED && a->has_returned_first))
+  if (lc_flow_agent__is_evacuated (a) || a->is_leaving ||
+      a->backend == LC_FLOW_BACKEND_UNAVAILABLE ||
+      (a->backend == LC_FLOW_BACKEND_UNCONFIRMED && a->has_returned_first))
     return false;
   /* If backend servers return packets, an agent that control counts as lost does no harm. */
   return a->desc.returns_packets || !a->is_cut_off;
 }
 
 bool
-lc_flow_agent__may_take (const LcFlowAgent *a, int64_t now_us)
+lc_flow_agent__may_accept (const LcFlowAgent *a, int64_t now_us)
 {
-  return lc_flow_agent__is_accepting (a) && lc_cold_limit_has_room (&a->first_packets, now_us);
+  return lc_flow_agent__is_accepting (a) && lc_warmup_limit_allows (&a->first_packets, now_us);
 }
 
 /* === private: health of the backend server ================================================= */
@@ -91,16 +92,16 @@
 };
 
 void
-lc_flow_agent__note_failure (LcFlowAgent *a, int64_t now_us)
+lc_flow_agent__record_failure (LcFlowAgent *a, int64_t now_us)
 {
-  if (lc_outlier_failure (&a->outlier, &LC_FLOW_OUTLIER, now_us))
+  if (lc_outlier_record_failure (&a->outlier, &LC_FLOW_OUTLIER, now_us))
     a->counts.ejected_total++;
 }
 
 void
-lc_flow_agent__note_success (LcFlowAgent *a)
+lc_flow_agent__record_success (LcFlowAgent *a)
 {
-  lc_outlier_success (&a->outlier);
+  lc_outlier_record_success (&a->outlier);
 }
 
 bool
@@ -111,16 +112,16 @@
 
 /* Updates this agent's own entry in the assigner's peer list. */
 static void
-lc_flow_agent__refresh_self (LcFlowAgent *a, int64_t now_us)
+lc_flow_agent__update_own_peer (LcFlowAgent *a, int64_t now_us)
 {
-  LcAssignPeer *self = lc_assign_peer (&a->assign, a->desc.self.id);
+  LcAssignPeer *self = lc_assign_find_peer (&a->assign, a->desc.self.id);
 
   if (self == NULL)
     return;
   self->open_flows = lc_flow_agent_open_flows (a);
   self->at_work = lc_flow_gate_load (&a->gate, now_us);
   self->byte_rate = a->byte_rate;
-  self->is_accepting = lc_flow_agent__may_take (a, now_us);
+  self->is_accepting = lc_flow_agent__may_accept (a, now_us);
   self->looks_bad = lc_flow_agent__looks_bad (a, now_us);
   self->is_warm = a->is_warm;
 }
@@ -170,12 +171,12 @@
 {
   LcFlowHeld held = { .flow = lc_flow_table_index (&a->table, f) };
 
-  if ((f->flags & (LC_FLOW_AT_WORK | LC_FLOW_WAITING)) == 0)
+  if ((f->flags & (LC_FLOW_AT_WORK | LC_FLOW_HELD)) == 0)
     return;
-  lc_flow_gate_end (&a->gate, held.flow);
-  if ((f->flags & LC_FLOW_WAITING) != 0)
+  lc_flow_gate_remove (&a->gate, held.flow);
+  if ((f->flags & LC_FLOW_HELD) != 0)
     g_array_append_val (a->held, held);
-  f->flags &= (uint8_t) ~(LC_FLOW_AT_WORK | LC_FLOW_WAITING);
+  f->flags &= (uint8_t) ~(LC_FLOW_AT_WORK | LC_FLOW_HELD);
 }
 
 /* === private: taking and assigning ========================================================== */
@@ -214,7 +215,7 @@
  * registrations and the counts: left in the queue without LC_FLOW_QUEUED it would break the queue's
  * links, and the next flush would read outside the table. */
 static void
-lc_flow_agent__become (LcFlowAgent *a, LcFlow *f, LcFlowKind kind)
+lc_flow_agent__change_kind (LcFlowAgent *a, LcFlow *f, LcFlowKind kind)
 {
   if (f->kind == LC_FLOW_OWNED)
     lc_flow_pointers_disown (a, f);
@@ -224,15 +225,15 @@
 }
 
 LcFlowAction
-lc_flow_agent__take (LcFlowAgent *a, LcFlow *f, const LcPacket *packet, int64_t now_us)
+lc_flow_agent__accept (LcFlowAgent *a, LcFlow *f, const LcPacket *packet, int64_t now_us)
 {
   if (f == NULL)
     f = lc_flow_table_add (&a->table, &packet->key, lc_flow_key_hash (&packet->key));
   if (f == NULL)
     return lc_flow_agent__drop (a, LC_DROP_NO_MEMORY);
   if (packet->may_open)
-    lc_cold_limit_note (&a->first_packets, now_us);
-  lc_flow_agent__become (a, f, LC_FLOW_OWNED);
+    lc_warmup_limit_record (&a->first_packets, now_us);
+  lc_flow_agent__change_kind (a, f, LC_FLOW_OWNED);
   f->began_ms = 0;
   f->data_end = 0;
   f->endpoint_id = 0;
@@ -244,21 +245,21 @@
   /* The first check comes no later than the idle timeout. */
   lc_flow_table_set_deadline (
       &a->table, f, now_us + MIN (a->desc.refresh_us, lc_flow_agent__idle_us (a, &packet->key)));
-  lc_flow_pointers_start (a, f);
+  lc_flow_pointers_begin_registration (a, f);
   a->counts.accepted_total++;
   return lc_flow_agent__deliver (a, f, packet, true, now_us);
 }
 
 /* Stores an unconfirmed pointer at the assigner until the owner registers the flow. */
 static bool
-lc_flow_agent__expect (
+lc_flow_agent__store_unconfirmed (
     LcFlowAgent *a, LcFlow *f, const LcPacket *packet, const LcCandidate *owner, int64_t now_us)
 {
   if (f == NULL)
     f = lc_flow_table_add (&a->table, &packet->key, lc_flow_key_hash (&packet->key));
   if (f == NULL)
     return false;
-  lc_flow_agent__become (a, f, LC_FLOW_POINTER);
+  lc_flow_agent__change_kind (a, f, LC_FLOW_POINTER);
   f->endpoint_id = owner->id;
   f->instance = owner->instance;
   f->ipv4 = owner->ipv4;
@@ -277,8 +278,8 @@
   int i;
 
   if (e->mode == LC_MODE_REFUSED)
-    lc_assign_refused (&a->assign, e->stray_id, now_us);
-  lc_flow_agent__refresh_self (a, now_us);
+    lc_assign_record_refusal (&a->assign, e->stray_id, now_us);
+  lc_flow_agent__update_own_peer (a, now_us);
   i = lc_assign_choose (&a->assign, lc_flow_key_hash (&packet->key), e->dc,
                         lc_flow_agent__home_regions (a, &packet->key), now_us);
   if (i < 0)
@@ -286,12 +287,12 @@
   a->counts.assigned_total++;
   peer = &a->assign.peers[i];
   if (peer->agent.id == a->desc.self.id)
-    return lc_flow_agent__take (a, f, packet, now_us);
+    return lc_flow_agent__accept (a, f, packet, now_us);
   a->counts.assigned_away_total++;
-  lc_assign_note (&a->assign, i);
-  if (!lc_flow_agent__expect (a, f, packet, &peer->agent, now_us))
+  lc_assign_count_flow (&a->assign, i);
+  if (!lc_flow_agent__store_unconfirmed (a, f, packet, &peer->agent, now_us))
     return lc_flow_agent__drop (a, LC_DROP_NO_MEMORY);
-  if (!lc_flow_list_set_assigner (e, &a->desc.self))
+  if (!lc_envelope_list_set_assigner (e, &a->desc.self))
     return lc_flow_agent__drop (a, LC_DROP_HOPS);
   a->last_busy_us = now_us;
   return lc_flow_agent__send (a, e, LC_MODE_OPEN, &peer->agent);
@@ -299,28 +300,28 @@
 
 /* === private: carrying out a steering decision ============================================= */
 
-static LcFlowAction lc_flow_agent__carry_out (
+static LcFlowAction lc_flow_agent__apply_rule (
     LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us, bool may_renew);
 
 /* Stores a PENDING entry for the assigner that is queried.  An older set's entry stays while its
  * assigner is alive, and so do an owned flow and a confirmed pointer: the walk of a packet for an
  * earlier process at this address may end here. */
 static void
-lc_flow_agent__mark (
+lc_flow_agent__store_pending (
     LcFlowAgent *a, LcFlow *f, const LcEnvelope *e, const LcPacket *packet, int64_t now_us)
 {
   const LcCandidate *assigner = &e->candidates[e->assigner];
-  LcSteerKnown known = lc_flow_agent__known (a, f);
+  LcSteerEntry known = lc_flow_agent__describe_entry (a, f);
   bool is_other = known.kind == LC_FLOW_PENDING && known.is_live && known.rank < e->set_rank;
-  bool is_known =
-      known.kind == LC_FLOW_OWNED || (known.kind == LC_FLOW_POINTER && known.is_live &&
-                                      known.is_confirmed && !lc_steer_is_stray (e, &known.other));
+  bool is_known = known.kind == LC_FLOW_OWNED ||
+                  (known.kind == LC_FLOW_POINTER && known.is_live && known.is_confirmed &&
+                   !lc_steer_is_stale_pointer (e, &known.other));
 
   if (f == NULL)
     f = lc_flow_table_add (&a->table, &packet->key, lc_flow_key_hash (&packet->key));
   if (f == NULL || is_other || is_known)
     return;
-  lc_flow_agent__become (a, f, LC_FLOW_PENDING);
+  lc_flow_agent__change_kind (a, f, LC_FLOW_PENDING);
   f->endpoint_id = assigner->id;
   f->instance = assigner->instance;
   f->ipv4 = assigner->ipv4;
@@ -332,45 +333,49 @@
 /* The assigner is this agent itself.  The packet may have been addressed to an earlier process at
  * this address, so that the table was not consulted: steers it again in ASSIGN mode. */
 static LcFlowAction
-lc_flow_agent__ask_self (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
+lc_flow_agent__resteer_as_assigner (LcFlowAgent *a,
+                                    LcEnvelope *e,
+                                    const LcPacket *packet,
+                                    int64_t now_us)
 {
   e->mode = LC_MODE_ASSIGN;
   e->target_id = a->desc.self.id;
   e->target_instance = a->desc.self.instance;
-  return lc_flow_agent__carry_out (a, e, packet, now_us, false);
+  return lc_flow_agent__apply_rule (a, e, packet, now_us, false);
 }
 
 static LcFlowAction
-lc_flow_agent__defer (LcFlowAgent *a,
-                      LcEnvelope *e,
-                      const LcPacket *packet,
-                      const LcCandidate *to,
-                      int64_t now_us,
-                      bool may_renew)
+lc_flow_agent__send_to_assigner (LcFlowAgent *a,
+                                 LcEnvelope *e,
+                                 const LcPacket *packet,
+                                 const LcCandidate *to,
+                                 int64_t now_us,
+                                 bool may_renew)
 {
   LcCandidate assigner = *to;
 
   if (lc_candidate_equal (&assigner, &a->desc.self))
-    return lc_flow_agent__ask_self (a, e, packet, now_us);
+    return lc_flow_agent__resteer_as_assigner (a, e, packet, now_us);
   if (lc_flow_agent__is_gone (a, e, &assigner))
     {
-      if (!may_renew || e->revision >= a->view->revision || !lc_flow_list_renew (a, e, packet))
+      if (!may_renew || e->revision >= a->view->revision ||
+          !lc_envelope_list_replace (a, e, packet))
         return lc_flow_agent__drop (a, LC_DROP_NO_ENDPOINT);
-      return lc_flow_agent__decide (a, e, packet, now_us, false);
+      return lc_flow_agent__steer (a, e, packet, now_us, false);
     }
-  if (!lc_flow_list_set_assigner (e, &assigner))
+  if (!lc_envelope_list_set_assigner (e, &assigner))
     return lc_flow_agent__drop (a, LC_DROP_HOPS);
   return lc_flow_agent__send (a, e, LC_MODE_ASSIGN, &assigner);
 }
 
 static LcFlowAction
-lc_flow_agent__walk_on (LcFlowAgent *a,
-                        LcEnvelope *e,
-                        LcFlow *f,
-                        const LcPacket *packet,
-                        const LcSteer *s,
-                        int64_t now_us,
-                        bool may_renew)
+lc_flow_agent__continue_walk (LcFlowAgent *a,
+                              LcEnvelope *e,
+                              LcFlow *f,
+                              const LcPacket *packet,
+                              const LcSteerDecision *s,
+                              int64_t now_us,
+                              bool may_renew)
 {
   LcCandidate assigner;
 
@@ -380,7 +385,7 @@
       e->stray_instance = e->target_instance;
     }
   if (s->next.is_pending)
-    lc_flow_agent__mark (a, f, e, packet, now_us);
+    lc_flow_agent__store_pending (a, f, e, packet, now_us);
   for (e->hop = s->next.hop; e->hop < e->n; e->hop++)
     if (!lc_flow_agent__is_gone (a, e, &e->candidates[e->hop]))
       return lc_flow_agent__send (a, e, LC_MODE_WALK, &e->candidates[e->hop]);
@@ -388,7 +393,7 @@
   if (!packet->may_open)
     return lc_flow_agent__drop (a, LC_DROP_NO_OWNER);
   assigner = e->candidates[e->assigner];
-  return lc_flow_agent__defer (a, e, packet, &assigner, now_us, may_renew);
+  return lc_flow_agent__send_to_assigner (a, e, packet, &assigner, now_us, may_renew);
 }
 
 LcFlowAction
@@ -406,17 +411,17 @@
 /* Switches a walk that meets an older set's PENDING entry to that set's assigner, which other walks
  * that met the entry query, too. */
 static void
-lc_flow_agent__follow_mark (const LcSteerKnown *known, LcEnvelope *e)
+lc_flow_agent__follow_pending (const LcSteerEntry *known, LcEnvelope *e)
 {
   if (known->kind != LC_FLOW_PENDING || !known->is_live || known->rank >= e->set_rank)
     return;
-  if (e->mode == LC_MODE_WALK && lc_flow_list_set_assigner (e, &known->other))
+  if (e->mode == LC_MODE_WALK && lc_envelope_list_set_assigner (e, &known->other))
     e->set_rank = known->rank;
 }
 
 /* Counts a flow whose owner is gone as broken, once, at its first home. */
 static void
-lc_flow_agent__note_broken (LcFlowAgent *a, LcFlow *f, const LcSteerKnown *k, const LcEnvelope *e)
+lc_flow_agent__count_broken (LcFlowAgent *a, LcFlow *f, const LcSteerEntry *k, const LcEnvelope *e)
 {
   if (k->kind != LC_FLOW_POINTER || !k->is_confirmed || k->is_live || e->mode != LC_MODE_WALK ||
       e->hop != 0)
@@ -429,11 +434,11 @@
  * its index).  The PENDING entries on the way still name the previous one: it would assign another
  * copy of the first packet, and the flow would get a second owner. */
 static bool
-lc_flow_agent__must_walk_back (const LcFlowAgent *a,
-                               const LcEnvelope *e,
-                               const LcPacket *packet,
-                               uint8_t passed,
-                               const LcSteer *s)
+lc_flow_agent__must_return_walk (const LcFlowAgent *a,
+                                 const LcEnvelope *e,
+                                 const LcPacket *packet,
+                                 uint8_t passed,
+                                 const LcSteerDecision *s)
 {
   const LcCandidate *to = &e->candidates[passed];
 
@@ -447,46 +452,47 @@
  * find what it has assigned meanwhile; from there the walk goes on behind this hop.  Walks that
  * meet the newer assigner's entries in between query it and are redirected by the older entry. */
 static LcFlowAction
-lc_flow_agent__walk_back (LcFlowAgent *a,
-                          LcEnvelope *e,
-                          LcFlow *f,
-                          const LcPacket *packet,
-                          const LcCandidate *to,
-                          int64_t now_us)
-{
-  lc_flow_agent__mark (a, f, e, packet, now_us);
+lc_flow_agent__return_walk (LcFlowAgent *a,
+                            LcEnvelope *e,
+                            LcFlow *f,
+                            const LcPacket *packet,
+                            const LcCandidate *to,
+                            int64_t now_us)
+{
+  lc_flow_agent__store_pending (a, f, e, packet, now_us);
   return lc_flow_agent__send (a, e, LC_MODE_WALK, to);
 }
 
 static LcFlowAction
-lc_flow_agent__carry_out (
+lc_flow_agent__apply_rule (
     LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us, bool may_renew)
 {
   LcFlow *f = lc_flow_table_find (&a->table, &packet->key, lc_flow_key_hash (&packet->key));
   LcSteerSelf self = lc_flow_agent__self (a, &packet->key);
-  LcSteerKnown known = lc_flow_agent__known (a, f);
+  LcSteerEntry known = lc_flow_agent__describe_entry (a, f);
   uint8_t assigner = e->assigner; /* indexes stay valid: a list only grows */
-  LcSteer s;
+  LcSteerDecision s;
 
-  lc_flow_agent__note_broken (a, f, &known, e);
-  lc_flow_list_extend (a, e, packet, now_us);
-  lc_flow_agent__follow_mark (&known, e);
-  s = lc_steer (&self, e, packet, &known);
+  lc_flow_agent__count_broken (a, f, &known, e);
+  lc_envelope_list_extend (a, e, packet, now_us);
+  lc_flow_agent__follow_pending (&known, e);
+  s = lc_steer_decide (&self, e, packet, &known);
   if (s.kind == LC_STEER_ASSIGN && e->mode == LC_MODE_WALK &&
       !lc_candidate_equal (&e->candidates[e->assigner], &self.agent))
-    s = (LcSteer){ .kind = LC_STEER_DEFER, .to = e->candidates[e->assigner] }; /* sent back here */
-  if (lc_flow_agent__must_walk_back (a, e, packet, assigner, &s))
-    return lc_flow_agent__walk_back (a, e, f, packet, &e->candidates[assigner], now_us);
+    s = (LcSteerDecision){ .kind = LC_STEER_DEFER,
+                           .to = e->candidates[e->assigner] }; /* sent back here */
+  if (lc_flow_agent__must_return_walk (a, e, packet, assigner, &s))
+    return lc_flow_agent__return_walk (a, e, f, packet, &e->candidates[assigner], now_us);
   switch (s.kind)
     {
     case LC_STEER_DELIVER:
       return lc_flow_agent__deliver (a, f, packet, false, now_us);
     case LC_STEER_TAKE:
-      return lc_flow_agent__take (a, f, packet, now_us);
+      return lc_flow_agent__accept (a, f, packet, now_us);
     case LC_STEER_ASSIGN:
       return lc_flow_agent__assign (a, e, f, packet, now_us);
     case LC_STEER_NEXT:
-      return lc_flow_agent__walk_on (a, e, f, packet, &s, now_us, may_renew);
+      return lc_flow_agent__continue_walk (a, e, f, packet, &s, now_us, may_renew);
     case LC_STEER_DEFER:
       /* A packet for an earlier process at this address is looked up at the end of its walk;
        * otherwise the assigner would give the flow to a second owner. */
@@ -494,15 +500,15 @@
         return lc_flow_agent__deliver (a, f, packet, false, now_us);
       /* The last hop of a walk needs the PENDING entry as well. */
       if (e->mode == LC_MODE_WALK && self.service_id == e->service_id)
-        lc_flow_agent__mark (a, f, e, packet, now_us);
+        lc_flow_agent__store_pending (a, f, e, packet, now_us);
       /* The rank is lowered to the older set's, or two assigners could defer to each other. */
       if (known.kind == LC_FLOW_PENDING && lc_candidate_equal (&s.to, &known.other))
         e->set_rank = MIN (e->set_rank, known.rank);
-      return lc_flow_agent__defer (a, e, packet, &s.to, now_us, may_renew);
+      return lc_flow_agent__send_to_assigner (a, e, packet, &s.to, now_us, may_renew);
     case LC_STEER_OWNER:
       return lc_flow_agent__send (a, e, LC_MODE_OWNER, &s.to);
     case LC_STEER_OPEN:
-      if (!lc_flow_list_set_assigner (e, &a->desc.self))
+      if (!lc_envelope_list_set_assigner (e, &a->desc.self))
         return lc_flow_agent__drop (a, LC_DROP_HOPS);
       a->last_busy_us = now_us;
       return lc_flow_agent__send (a, e, LC_MODE_OPEN, &s.to);
@@ -515,10 +521,10 @@
 }
 
 LcFlowAction
-lc_flow_agent__decide (
+lc_flow_agent__steer (
     LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us, bool may_renew)
 {
   if (!may_renew && !lc_candidate_equal (&e->candidates[0], &a->desc.self))
     return lc_flow_agent__send (a, e, LC_MODE_WALK, &e->candidates[0]); /* renewed just now */
-  return lc_flow_agent__carry_out (a, e, packet, now_us, may_renew);
+  return lc_flow_agent__apply_rule (a, e, packet, now_us, may_renew);
 }
--- a/src/core/flow/lc-flow-agent.c
+++ b/src/core/flow/lc-flow-agent.c
@@ -1,6 +1,6 @@
 #include "lc-flow-agent-private.h"
 #include "lc-flow-finder.h"
-#include "lc-flow-list.h"
+#include "lc-envelope-list.h"
 #include "lc-flow-pointers.h"
 #include "lc-flow-return.h"
 
@@ -13,8 +13,9 @@
   LC_FLOW_LOAD_FANOUT = 16,
   LC_FLOW_REGISTRATIONS_TICK = 64,
   LC_FLOW_HAND_OVER_BATCH = 1024,
-  LC_FLOW_BYTE_SMOOTHING = 8,  /* seconds, of the moving average */
-  LC_FLOW_TELL_PERMILLE = 50,  /* change of the load that is reported before the interval ends */
+  LC_FLOW_BYTE_SMOOTHING = 8, /* seconds, of the moving average */
+  LC_FLOW_LOAD_CHANGE_PERMILLE =
+      50,                      /* change of the load that is reported before the interval ends */
   LC_FLOW_HAND_OVER_TICKS = 4, /* ticks between resends of an offer */
 };
 
@@ -30,7 +31,7 @@
 {
   LcFlow *f;
 
-  while ((f = lc_flow_table_due (&a->table, now_us)) != NULL)
+  while ((f = lc_flow_table_next_expired (&a->table, now_us)) != NULL)
     {
       if (f->kind != LC_FLOW_OWNED)
         {
@@ -39,14 +40,14 @@
         }
       if (f->expiry_tick <= lc_flow_tick (now_us))
         {
-          lc_flow_pointers_end (a, f);
+          lc_flow_pointers_unregister (a, f);
           lc_flow_table_remove (&a->table, f);
           continue;
         }
       lc_flow_table_set_deadline (
           &a->table, f,
           MIN (now_us + a->desc.refresh_us, (int64_t)f->expiry_tick * LC_FLOW_TICK_US));
-      lc_flow_pointers_start (a, f);
+      lc_flow_pointers_begin_registration (a, f);
     }
 }
 
@@ -66,7 +67,7 @@
 
 /* Load in flows, as peers compare it: a request in work weighs more than an open flow. */
 static uint32_t
-lc_flow_agent__weight (const LcFlowAgent *a, int64_t now_us)
+lc_flow_agent__weighted_load (const LcFlowAgent *a, int64_t now_us)
 {
   return lc_flow_agent_open_flows (a) +
          lc_flow_gate_load (&a->gate, now_us) * a->desc.assign.work_weight;
@@ -74,31 +75,31 @@
 
 /* Whether the load changed enough since the last report to mislead assigners. */
 static bool
-lc_flow_agent__has_changed (const LcFlowAgent *a, int64_t now_us)
+lc_flow_agent__has_load_changed (const LcFlowAgent *a, int64_t now_us)
 {
-  uint32_t open = lc_flow_agent__weight (a, now_us);
+  uint32_t open = lc_flow_agent__weighted_load (a, now_us);
   uint32_t change = open > a->reported_load ? open - a->reported_load : a->reported_load - open;
 
-  return (uint64_t)change * 1000 > (uint64_t)a->reported_load * LC_FLOW_TELL_PERMILLE ||
+  return (uint64_t)change * 1000 > (uint64_t)a->reported_load * LC_FLOW_LOAD_CHANGE_PERMILLE ||
          a->reported_bad != lc_flow_agent__looks_bad (a, now_us) ||
-         a->reported_spent == lc_cold_limit_has_room (&a->first_packets, now_us);
+         a->reported_spent == lc_warmup_limit_allows (&a->first_packets, now_us);
 }
 
 /* Reports the load to up to desc.load_fanout peers, in rotation. */
 static void
-lc_flow_agent__tell_load (LcFlowAgent *a, int64_t now_us)
+lc_flow_agent__report_load (LcFlowAgent *a, int64_t now_us)
 {
   uint32_t n = a->assign.n_peers;
   uint32_t sent = 0;
 
   if (n == 0 ||
       (now_us < a->next_load_us && (now_us - a->reported_us < a->desc.load_min_interval_us ||
-                                    !lc_flow_agent__has_changed (a, now_us))))
+                                    !lc_flow_agent__has_load_changed (a, now_us))))
     return;
-  a->reported_load = lc_flow_agent__weight (a, now_us);
+  a->reported_load = lc_flow_agent__weighted_load (a, now_us);
   a->reported_us = now_us;
   a->reported_bad = lc_flow_agent__looks_bad (a, now_us);
-  a->reported_spent = !lc_cold_limit_has_room (&a->first_packets, now_us);
+  a->reported_spent = !lc_warmup_limit_allows (&a->first_packets, now_us);
   a->next_load_us = now_us + a->desc.load_interval_us;
   for (uint32_t k = 0; k < n && sent < a->desc.load_fanout; k++)
     {
@@ -106,39 +107,39 @@
 
       if (p->agent.id == a->desc.self.id)
         continue;
-      (void)lc_flow_pointers_message (a, LC_FLOW_LOAD, &p->agent);
+      (void)lc_flow_pointers_add_message (a, LC_FLOW_LOAD, &p->agent);
       sent++;
     }
   a->next_load_peer = (a->next_load_peer + sent) % n;
 }
 
 static uint32_t
-lc_flow_agent__or (uint32_t value, uint32_t fallback)
+lc_flow_agent__or_default (uint32_t value, uint32_t fallback)
 {
   return value != 0 ? value : fallback;
 }
 
 static int64_t
-lc_flow_agent__or_us (int64_t value_us, int64_t fallback_us)
+lc_flow_agent__or_default_us (int64_t value_us, int64_t fallback_us)
 {
   return value_us != 0 ? value_us : fallback_us;
 }
 
 static void
-lc_flow_agent__set_server (LcFlowAgent *a, const LcService *service)
+lc_flow_agent__set_service_limits (LcFlowAgent *a, const LcService *service)
 {
-  const LcAssignPeer *self = lc_assign_peer (&a->assign, a->desc.self.id);
+  const LcAssignPeer *self = lc_assign_find_peer (&a->assign, a->desc.self.id);
   uint32_t slots = a->desc.has_gate && self != NULL ? self->slots : 0;
   int64_t objective_ms = service != NULL ? service->objective_latency_ms : 0;
 
   lc_flow_gate_set_server (&a->gate, slots, objective_ms * LC_US_PER_MS);
-  lc_cold_limit_set_rate (&a->gate.cold, service != NULL ? service->cold_rate_mrps : 0);
-  lc_cold_limit_set_rate (&a->first_packets, service != NULL ? service->cold_rate_mrps : 0);
+  lc_warmup_limit_set_rate (&a->gate.cold, service != NULL ? service->cold_rate_mrps : 0);
+  lc_warmup_limit_set_rate (&a->first_packets, service != NULL ? service->cold_rate_mrps : 0);
 }
 
 /* Digest of each address and its home regions; independent of the order of the addresses. */
 static uint64_t
-lc_flow_agent__homes_digest (const LcView *view)
+lc_flow_agent__digest_home_regions (const LcView *view)
 {
   uint64_t digest = 0;
   GHashTableIter iter;
@@ -159,9 +160,9 @@
 /* Acknowledgements are carried over from the previous sets (version + 1) only if the home regions
  * are unchanged. */
 static void
-lc_flow_agent__note_homes (LcFlowAgent *a, const LcView *view)
+lc_flow_agent__update_sets_version (LcFlowAgent *a, const LcView *view)
 {
-  uint64_t digest = lc_flow_agent__homes_digest (view);
+  uint64_t digest = lc_flow_agent__digest_home_regions (view);
 
   a->sets_version += digest == a->home_regions_digest ? 1 : 2;
   a->home_regions_digest = digest;
@@ -176,13 +177,15 @@
 
   memset (a, 0, sizeof *a);
   *d = *desc;
-  d->connection_limit = lc_flow_agent__or (d->connection_limit, LC_FLOW_CONNECTION_LIMIT);
-  d->udp_idle_us = lc_flow_agent__or_us (d->udp_idle_us, LC_FLOW_UDP_IDLE_US);
-  d->tcp_idle_us = lc_flow_agent__or_us (d->tcp_idle_us, LC_FLOW_TCP_IDLE_US);
-  d->refresh_us = lc_flow_agent__or_us (d->refresh_us, LC_FLOW_REFRESH_US);
-  d->load_interval_us = lc_flow_agent__or_us (d->load_interval_us, LC_FLOW_LOAD_INTERVAL_US);
-  d->load_fanout = lc_flow_agent__or (d->load_fanout, LC_FLOW_LOAD_FANOUT);
-  d->registrations_tick = lc_flow_agent__or (d->registrations_tick, LC_FLOW_REGISTRATIONS_TICK);
+  d->connection_limit = lc_flow_agent__or_default (d->connection_limit, LC_FLOW_CONNECTION_LIMIT);
+  d->udp_idle_us = lc_flow_agent__or_default_us (d->udp_idle_us, LC_FLOW_UDP_IDLE_US);
+  d->tcp_idle_us = lc_flow_agent__or_default_us (d->tcp_idle_us, LC_FLOW_TCP_IDLE_US);
+  d->refresh_us = lc_flow_agent__or_default_us (d->refresh_us, LC_FLOW_REFRESH_US);
+  d->load_interval_us =
+      lc_flow_agent__or_default_us (d->load_interval_us, LC_FLOW_LOAD_INTERVAL_US);
+  d->load_fanout = lc_flow_agent__or_default (d->load_fanout, LC_FLOW_LOAD_FANOUT);
+  d->registrations_tick =
+      lc_flow_agent__or_default (d->registrations_tick, LC_FLOW_REGISTRATIONS_TICK);
   lc_flow_table_init (&a->table, d->max_flows, now_us);
   lc_assign_init (&a->assign, &d->assign);
   a->outbox = g_queue_new ();
@@ -196,12 +199,12 @@
   a->found = g_array_new (FALSE, FALSE, sizeof (LcFlowFound));
   a->held = g_array_new (FALSE, FALSE, sizeof (LcFlowHeld));
   lc_flow_gate_init (&a->gate, &d->gate);
-  lc_cold_limit_init (&a->gate.cold, &d->cold, now_us);
-  lc_cold_limit_init (&a->first_packets, &d->cold, now_us);
+  lc_warmup_limit_init (&a->gate.cold, &d->cold, now_us);
+  lc_warmup_limit_init (&a->first_packets, &d->cold, now_us);
   if (!d->is_backend_fresh)
     return;
-  lc_cold_limit_know_all (&a->gate.cold);
-  lc_cold_limit_know_all (&a->first_packets);
+  lc_warmup_limit_skip_first_window (&a->gate.cold);
+  lc_warmup_limit_skip_first_window (&a->first_packets);
 }
 
 void
@@ -230,19 +233,19 @@
 
   a->view = view;
   lc_assign_set_members (&a->assign, service, a->desc.self.id, now_us);
-  lc_assign_set_places (&a->assign, view);
+  lc_assign_update_dcs (&a->assign, view);
   lc_candidate_sets_finish (&a->previous_sets);
   a->previous_sets = a->sets;
   memset (&a->sets, 0, sizeof a->sets);
   lc_candidate_sets_compile (&a->sets, service);
   a->roster = service != NULL ? service->roster_revision : 0;
-  lc_candidate_sets_place (&a->sets, view);
-  lc_flow_list_remember_settling (a, now_us);
-  lc_flow_agent__note_homes (a, view);
-  lc_flow_pointers_sets_changed (a);
-  lc_flow_agent__set_server (a, service);
+  lc_candidate_sets_set_regions (&a->sets, view);
+  lc_envelope_list_save_settling (a, now_us);
+  lc_flow_agent__update_sets_version (a, view);
+  lc_flow_pointers_update_homes (a);
+  lc_flow_agent__set_service_limits (a, service);
   if (a->searches != NULL)
-    lc_flow_finder_set_members (a, now_us);
+    lc_flow_finder_update_members (a, now_us);
 }
 
 /* A searcher may still have the instance of an earlier process of this endpoint.  It is answered
@@ -251,58 +254,58 @@
 lc_flow_agent__is_for_self (const LcFlowAgent *a, const LcFlowMessage *m)
 {
   return lc_candidate_equal (&m->to, &a->desc.self) ||
-         (m->kind == LC_FLOW_ASK && m->to.id == a->desc.self.id);
+         (m->kind == LC_FLOW_QUERY && m->to.id == a->desc.self.id);
 }
 
 /* === public: packets and messages =========================================================== */
 
 LcFlowAction
-lc_flow_agent_packet (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
+lc_flow_agent_handle_packet (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
 {
   bool is_renewed = false;
 
   if (a->view == NULL)
     return lc_flow_agent__drop (a, LC_DROP_NO_SERVICE);
   if (a->desc.returns_packets)
-    return lc_flow_return_packet (a, e, packet, now_us);
-  if (lc_flow_list_is_stale (a, e))
-    is_renewed = lc_flow_list_renew (a, e, packet);
-  lc_flow_list_correct_rank (a, e);
-  return lc_flow_agent__decide (a, e, packet, now_us, !is_renewed);
+    return lc_flow_return_steer (a, e, packet, now_us);
+  if (lc_envelope_list_is_stale (a, e))
+    is_renewed = lc_envelope_list_replace (a, e, packet);
+  lc_envelope_list_correct_rank (a, e);
+  return lc_flow_agent__steer (a, e, packet, now_us, !is_renewed);
 }
 
 static void
-lc_flow_agent__take_message (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
+lc_flow_agent__dispatch_message (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
 {
   if (m->service_id != a->desc.service_id || !lc_flow_agent__is_for_self (a, m))
     return;
   a->counts.messages_total++;
-  lc_assign_report (&a->assign, &m->load, now_us);
+  lc_assign_record_load (&a->assign, &m->load, now_us);
   switch (m->kind)
     {
     case LC_FLOW_POINTERS:
-      lc_flow_pointers_register (a, m, now_us);
+      lc_flow_pointers_handle_registration (a, m, now_us);
       break;
     case LC_FLOW_POINTERS_ACK:
-      lc_flow_pointers_acked (a, m, now_us);
+      lc_flow_pointers_handle_ack (a, m, now_us);
       break;
-    case LC_FLOW_CONTEST:
-      lc_flow_pointers_contested (a, m);
+    case LC_FLOW_CONFLICT:
+      lc_flow_pointers_handle_contest (a, m);
       break;
     case LC_FLOW_HAND_OVER:
-      lc_flow_pointers_adopt (a, m, now_us);
+      lc_flow_pointers_handle_hand_over (a, m, now_us);
       break;
     case LC_FLOW_HAND_OVER_ACK:
-      lc_flow_pointers_adopted (a, m, now_us);
+      lc_flow_pointers_handle_hand_over_ack (a, m, now_us);
       break;
-    case LC_FLOW_DENIED:
-      lc_flow_finder_denied (a, m, now_us);
+    case LC_FLOW_NOT_HELD:
+      lc_flow_finder_handle_denial (a, m, now_us);
       break;
-    case LC_FLOW_ASK:
-      lc_flow_finder_asked (a, m);
+    case LC_FLOW_QUERY:
+      lc_flow_finder_handle_query (a, m);
       break;
-    case LC_FLOW_ANSWER:
-      lc_flow_finder_answered (a, m, now_us);
+    case LC_FLOW_QUERY_REPLY:
+      lc_flow_finder_handle_answer (a, m, now_us);
       break;
     case LC_FLOW_LOAD:
     default:
@@ -311,15 +314,15 @@
 }
 
 void
-lc_flow_agent_message (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
+lc_flow_agent_handle_message (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
 {
-  LcAssignPeer *sender = lc_assign_peer (&a->assign, m->load.agent.id);
+  LcAssignPeer *sender = lc_assign_find_peer (&a->assign, m->load.agent.id);
   /* Any instance counts: the endpoint responds. */
-  bool was_silent = sender != NULL && lc_flow_finder_heard (sender, now_us);
+  bool was_silent = sender != NULL && lc_flow_finder_record_contact (sender, now_us);
 
-  lc_flow_agent__take_message (a, m, now_us);
+  lc_flow_agent__dispatch_message (a, m, now_us);
   if (was_silent)
-    lc_flow_finder_catch_up (a, m->load.agent.id, now_us);
+    lc_flow_finder_send_missed_rounds (a, m->load.agent.id, now_us);
 }
 
 void
@@ -329,16 +332,16 @@
   if (a->table.n_owned > 0)
     a->last_busy_us = now_us;
   lc_flow_agent__expire (a, now_us);
-  lc_flow_pointers_flush (a, now_us);
+  lc_flow_pointers_send_due (a, now_us);
   if (a->n_ticks++ % LC_FLOW_HAND_OVER_TICKS == 0)
     lc_flow_pointers_hand_over (a, LC_FLOW_HAND_OVER_BATCH, now_us);
   lc_flow_agent__measure_bytes (a, now_us);
-  lc_flow_agent__tell_load (a, now_us);
+  lc_flow_agent__report_load (a, now_us);
   lc_flow_finder_tick (a, now_us);
 }
 
 bool
-lc_flow_agent_next (LcFlowAgent *a, LcFlowMessage *out, int64_t now_us)
+lc_flow_agent_next_message (LcFlowAgent *a, LcFlowMessage *out, int64_t now_us)
 {
   LcFlowMessage *m = g_queue_pop_head (a->outbox);
 
@@ -352,7 +355,7 @@
   out->load.at_work = lc_flow_gate_load (&a->gate, now_us);
   out->load.byte_rate = a->byte_rate;
   out->load.is_accepting =
-      lc_flow_agent__may_take (a, now_us) && out->load.open_flows < a->desc.connection_limit;
+      lc_flow_agent__may_accept (a, now_us) && out->load.open_flows < a->desc.connection_limit;
   out->load.looks_bad = lc_flow_agent__looks_bad (a, now_us);
   out->load.is_warm = a->is_warm;
   out->load.coverage = lc_flow_finder_knowledge (a, now_us);
@@ -370,17 +373,17 @@
 }
 
 void
-lc_flow_agent_set_backend (LcFlowAgent *a, LcFlowBackend backend)
+lc_flow_agent_set_backend (LcFlowAgent *a, LcFlowBackendState backend)
 {
   a->backend = backend;
-  a->has_returned_first = a->has_returned_first && backend == LC_FLOW_BACKEND_ASKED;
+  a->has_returned_first = a->has_returned_first && backend == LC_FLOW_BACKEND_UNCONFIRMED;
 }
 
 void
 lc_flow_agent_set_cold (LcFlowAgent *a, bool is_cold)
 {
-  lc_cold_limit_set_cold (&a->gate.cold, is_cold);
-  lc_cold_limit_set_cold (&a->first_packets, is_cold);
+  lc_warmup_limit_set_cold (&a->gate.cold, is_cold);
+  lc_warmup_limit_set_cold (&a->first_packets, is_cold);
 }
 
 void
@@ -390,12 +393,12 @@
 }
 
 void
-lc_flow_agent_rename (LcFlowAgent *a, const LcCandidate *self)
+lc_flow_agent_set_identity (LcFlowAgent *a, const LcCandidate *self)
 {
   a->desc.self = *self;
   for (uint32_t i = 0; i < a->table.capacity; i++)
     if (a->table.flows[i].kind == LC_FLOW_OWNED)
-      lc_flow_pointers_start (a, &a->table.flows[i]);
+      lc_flow_pointers_begin_registration (a, &a->table.flows[i]);
 }
 
 void
@@ -411,7 +414,7 @@
 }
 
 void
-lc_flow_agent_stay (LcFlowAgent *a)
+lc_flow_agent_cancel_leave (LcFlowAgent *a)
 {
   a->is_leaving = a->is_handing_over;
 }
@@ -431,7 +434,7 @@
 }
 
 bool
-lc_flow_agent_has_heir (const LcFlowAgent *a)
+lc_flow_agent_has_successor (const LcFlowAgent *a)
 {
   for (uint32_t i = 0; a->sets.n_sets > 0 && i < a->sets.sets[0].n; i++)
     if (a->sets.members[a->sets.sets[0].first + i].candidate.id != a->desc.self.id)
@@ -446,9 +449,9 @@
 }
 
 uint32_t
-lc_flow_agent_at_work (const LcFlowAgent *a)
+lc_flow_agent_unanswered_requests (const LcFlowAgent *a)
 {
-  return lc_flow_gate_n_working (&a->gate) + lc_flow_gate_n_waiting (&a->gate);
+  return lc_flow_gate_n_in_flight (&a->gate) + lc_flow_gate_n_waiting (&a->gate);
 }
 
 uint32_t
--- a/src/core/flow/lc-flow-agent.h
+++ b/src/core/flow/lc-flow-agent.h
@@ -21,10 +21,10 @@
  * HOW TO USE IT
  *     lc_flow_agent_init (&agent, &desc, now_us);
  *     lc_flow_agent_set_view (&agent, view, now_us);          after each change of the view
- *     action = lc_flow_agent_packet (&agent, &envelope, &packet, now_us);
- *     lc_flow_agent_message (&agent, &message, now_us);
+ *     action = lc_flow_agent_handle_packet (&agent, &envelope, &packet, now_us);
+ *     lc_flow_agent_handle_message (&agent, &message, now_us);
  *     lc_flow_agent_tick (&agent, now_us);                    every LC_FLOW_AGENT_TICK_US
- *     while (lc_flow_agent_next (&agent, &message, now_us))
+ *     while (lc_flow_agent_next_message (&agent, &message, now_us))
  *       send it to message.to
  *     lc_flow_agent_finish (&agent);
  *
@@ -42,7 +42,7 @@
 #include "core/request/lc-outlier.h"
 #include "lc-flow-gate.h"
 #include "lc-flow-message.h"
-#include "lc-flow-returners.h"
+#include "lc-flow-reconnects.h"
 #include "lc-flow-search.h"
 #include "lc-steer.h"
 
@@ -75,17 +75,17 @@
     bool is_backend_fresh; /* the backend server started after this agent and holds no flow yet */
     bool has_gate;         /* also queue requests while it has no free slot: lc-flow-gate.h */
     LcFlowGateDesc gate;
-    LcColdLimitDesc cold;
+    LcWarmupLimitDesc cold;
     LcAssignDesc assign;
   } LcFlowAgentDesc;
 
   /* Whether the backend server may be given new flows. */
   typedef enum
   {
-    LC_FLOW_BACKEND_OPEN = 0,  /* reported open, or it never reports its state */
-    LC_FLOW_BACKEND_ASKED = 1, /* no report to this process yet: used until it returns one */
-    LC_FLOW_BACKEND_NONE = 2,  /* leaving, silent or absent */
-  } LcFlowBackend;
+    LC_FLOW_BACKEND_OPEN = 0,        /* reported open, or it never reports its state */
+    LC_FLOW_BACKEND_UNCONFIRMED = 1, /* no report to this process yet: used until it returns one */
+    LC_FLOW_BACKEND_UNAVAILABLE = 2, /* leaving, silent or absent */
+  } LcFlowBackendState;
 
   typedef enum
   {
@@ -132,16 +132,16 @@
   /* What a packet of the backend server responds to. */
   typedef enum
   {
-    LC_FLOW_ANSWER_NONE = 0,
-    LC_FLOW_ANSWER_OPENED = 1, /* the flow's first packet: the flow is accepted */
-    LC_FLOW_ANSWER_BEGUN = 2,  /* a request: first data of the response */
-  } LcFlowAnswerKind;
+    LC_FLOW_RESPONSE_NONE = 0,
+    LC_FLOW_RESPONSE_ACCEPT = 1, /* the flow's first packet: the flow is accepted */
+    LC_FLOW_RESPONSE_DATA = 2,   /* a request: first data of the response */
+  } LcFlowResponseKind;
 
   typedef struct
   {
-    LcFlowAnswerKind kind;
+    LcFlowResponseKind kind;
     int64_t elapsed_us; /* since the packet it responds to; whole milliseconds */
-  } LcFlowAnswer;
+  } LcFlowResponse;
 
   /* What to do with the packets held for a flow. */
   typedef struct
@@ -193,15 +193,15 @@
     uint32_t n_behind;            /* owned, not yet registered with all current homes */
     uint32_t n_adopted;           /* owned, delivered to another agent's backend server */
     LcFlowGate gate;              /* requests in work and queued */
-    LcColdLimit first_packets;    /* rate limit of first packets while it is cold */
-    LcFlowReturners reconnects;
+    LcWarmupLimit first_packets;  /* rate limit of first packets while it is cold */
+    LcFlowReconnects reconnects;
     GArray *held;      /* LcFlowHeld: decisions on held packets */
     uint32_t n_ended;  /* owned, not adopted, lingering for late packets after the last one */
     LcDcId dc;         /* of this agent */
     LcDcId arrival_dc; /* where the current packet entered; 0: not known */
     bool is_leaving;
     bool is_cut_off;
-    LcFlowBackend backend;
+    LcFlowBackendState backend;
     bool has_returned_first; /* while unconfirmed, it returned a first packet */
     bool is_handing_over;
     bool looks_bad;
@@ -233,40 +233,41 @@
   void lc_flow_agent_set_view (LcFlowAgent *agent, const LcView *view, int64_t now_us);
 
   /* Decides what to do with a packet; rewrites the envelope if the packet is forwarded. */
-  LcFlowAction lc_flow_agent_packet (LcFlowAgent *agent,
-                                     LcEnvelope *envelope,
-                                     const LcPacket *packet,
-                                     int64_t now_us);
-  void lc_flow_agent_message (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
+  LcFlowAction lc_flow_agent_handle_packet (LcFlowAgent *agent,
+                                            LcEnvelope *envelope,
+                                            const LcPacket *packet,
+                                            int64_t now_us);
+  void
+  lc_flow_agent_handle_message (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
   void lc_flow_agent_tick (LcFlowAgent *agent, int64_t now_us);
-  bool lc_flow_agent_next (LcFlowAgent *agent, LcFlowMessage *message, int64_t now_us);
+  bool lc_flow_agent_next_message (LcFlowAgent *agent, LcFlowMessage *message, int64_t now_us);
 
   /* Whether upstream has been silent so long that control may have marked this endpoint lost. */
   void lc_flow_agent_set_cut_off (LcFlowAgent *agent, bool is_cut_off);
-  void lc_flow_agent_set_backend (LcFlowAgent *agent, LcFlowBackend backend);
+  void lc_flow_agent_set_backend (LcFlowAgent *agent, LcFlowBackendState backend);
   /* Whether the backend server is, or may be, still cold. */
   void lc_flow_agent_set_cold (LcFlowAgent *agent, bool is_cold);
   void lc_flow_agent_set_dc (LcFlowAgent *agent, LcDcId dc);
   /* Changes this agent's identity (same backend server) and registers its flows again. */
-  void lc_flow_agent_rename (LcFlowAgent *agent, const LcCandidate *self);
+  void lc_flow_agent_set_identity (LcFlowAgent *agent, const LcCandidate *self);
   void lc_flow_agent_set_looks_bad (LcFlowAgent *agent, bool looks_bad);
   void lc_flow_agent_leave (LcFlowAgent *agent);
   /* Takes new flows again: the leave request concerned an earlier backend server.  No effect after
    * lc_flow_agent_hand_over. */
-  void lc_flow_agent_stay (LcFlowAgent *agent);
+  void lc_flow_agent_cancel_leave (LcFlowAgent *agent);
   void lc_flow_agent_hand_over (LcFlowAgent *agent);
   /* Whether a leaving agent may stop: it owns nothing, its view has settled without it, and packets
    * it assigned to others have arrived (LC_FLOW_LINGER_US). */
   bool lc_flow_agent_is_drained (const LcFlowAgent *agent, int64_t now_us);
   /* Whether another endpoint can take over the flows of this agent. */
-  bool lc_flow_agent_has_heir (const LcFlowAgent *agent);
+  bool lc_flow_agent_has_successor (const LcFlowAgent *agent);
 
   /* Newest view revision for which every owned flow is registered with all homes; 0: none. */
   LcRevision lc_flow_agent_registered_revision (const LcFlowAgent *agent);
   /* Open flows of this agent's own backend server. */
   uint32_t lc_flow_agent_open_flows (const LcFlowAgent *agent);
   /* Unanswered requests: those in work at the backend server and those queued for it. */
-  uint32_t lc_flow_agent_at_work (const LcFlowAgent *agent);
+  uint32_t lc_flow_agent_unanswered_requests (const LcFlowAgent *agent);
 
 #ifdef __cplusplus
 }
--- a/src/core/flow/lc-flow-balancer.c
+++ b/src/core/flow/lc-flow-balancer.c
@@ -35,14 +35,14 @@
 }
 
 void
-lc_flow_balancer_forget (LcFlowBalancer *b, LcServiceId service_id)
+lc_flow_balancer_drop_service (LcFlowBalancer *b, LcServiceId service_id)
 {
   g_hash_table_remove (b->services, GUINT_TO_POINTER (service_id));
   memset (b->entries, 0, LC_FLOW_BALANCER_CACHE * sizeof *b->entries);
 }
 
 static const LcCandidateSets *
-lc_flow_balancer__sets (LcFlowBalancer *b, LcServiceId id)
+lc_flow_balancer__get_sets (LcFlowBalancer *b, LcServiceId id)
 {
   LcCandidateSets *sets = g_hash_table_lookup (b->services, GUINT_TO_POINTER (id));
 
@@ -50,14 +50,14 @@
     return sets;
   sets = g_new0 (LcCandidateSets, 1);
   lc_candidate_sets_compile (sets, lc_view_service (b->view, id));
-  lc_candidate_sets_place (sets, b->view);
+  lc_candidate_sets_set_regions (sets, b->view);
   g_hash_table_insert (b->services, GUINT_TO_POINTER (id), sets);
   return sets;
 }
 
 /* NULL: no service at the packet's target. */
 static const LcFlowBalancerEntry *
-lc_flow_balancer__find (LcFlowBalancer *b, const LcFlowKey *key)
+lc_flow_balancer__look_up (LcFlowBalancer *b, const LcFlowKey *key)
 {
   uint32_t x = (key->target_ipv4 ^ ((uint32_t)key->target_port << 8) ^ key->protocol) * 0x9e3779b1U;
   LcFlowBalancerEntry *entry = &b->entries[x >> 22];
@@ -71,7 +71,7 @@
     return NULL;
   *entry = (LcFlowBalancerEntry){ key->target_ipv4, key->target_port, key->protocol,
                                   lc_view_home_regions (b->view, address->homes),
-                                  lc_flow_balancer__sets (b, address->service_id) };
+                                  lc_flow_balancer__get_sets (b, address->service_id) };
   return entry;
 }
 
@@ -117,17 +117,17 @@
 
 /* The homes nearest to `dc`, for services whose agents find owners without a settled list. */
 static bool
-lc_envelope__fill_near (
+lc_envelope__fill_local (
     LcEnvelope *e, const LcCandidateSets *sets, uint64_t key_hash, LcRegionMask regions, LcDcId dc)
 {
   const LcSetMember *homes[LC_HOMES];
-  uint32_t n = lc_candidates_near_homes (sets, key_hash, dc, regions, homes);
+  uint32_t n = lc_candidates_local_homes (sets, key_hash, dc, regions, homes);
 
   return lc_envelope__put_homes (e, homes, n);
 }
 
 static bool
-lc_envelope__start (LcEnvelope *e, const LcCandidateSets *sets, bool is_filled)
+lc_envelope__begin_list (LcEnvelope *e, const LcCandidateSets *sets, bool is_filled)
 {
   if (!is_filled)
     return false;
@@ -148,7 +148,7 @@
   bool is_filled = sets->n_sets == 1 ? lc_envelope__fill_settled (e, sets, key_hash, regions)
                                      : lc_envelope__fill_unsettled (e, sets, key_hash, regions);
 
-  return lc_envelope__start (e, sets, is_filled);
+  return lc_envelope__begin_list (e, sets, is_filled);
 }
 
 void
@@ -158,9 +158,9 @@
 }
 
 void
-lc_flow_balancer_mark_suspects (LcFlowBalancer *b, const LcReach *detector, int64_t now_us)
+lc_flow_balancer_mark_suspects (LcFlowBalancer *b, const LcProbeDetector *detector, int64_t now_us)
 {
-  bool has_suspects = lc_reach_has_suspects (detector, now_us);
+  bool has_suspects = lc_probe_detector_has_suspects (detector, now_us);
   GHashTableIter iter;
   gpointer value;
 
@@ -174,7 +174,7 @@
       LcCandidateSets *sets = value;
 
       for (uint32_t i = 0; i < sets->n_members; i++)
-        sets->members[i].is_suspect = lc_reach_is_suspect (
+        sets->members[i].is_suspect = lc_probe_detector_is_suspect (
             detector, sets->members[i].candidate.ipv4, sets->members[i].candidate.port, now_us);
     }
 }
@@ -188,7 +188,7 @@
 /* Puts an endpoint of the newest set in front of the list, round-robin: if it is alive and has a
  * newer view, it replaces the list. */
 static void
-lc_flow_balancer__detour (LcFlowBalancer *b, const LcCandidateSets *sets, LcEnvelope *e)
+lc_flow_balancer__add_detour (LcFlowBalancer *b, const LcCandidateSets *sets, LcEnvelope *e)
 {
   uint32_t n = sets->sets[0].n;
 
@@ -205,10 +205,10 @@
 /* No endpoint takes new flows, but those that are leaving still have theirs: one of them, chosen by
  * hash, searches for the owner. */
 static bool
-lc_flow_balancer__any_endpoint (const LcFlowBalancer *b,
-                                LcServiceId service_id,
-                                uint64_t key_hash,
-                                LcEnvelope *e)
+lc_flow_balancer__fill_any_endpoint (const LcFlowBalancer *b,
+                                     LcServiceId service_id,
+                                     uint64_t key_hash,
+                                     LcEnvelope *e)
 {
   const LcService *s = lc_view_service (b->view, service_id);
   const LcEndpoint *any;
@@ -227,26 +227,26 @@
 }
 
 static bool
-lc_flow_balancer__list (const LcFlowBalancer *b,
-                        const LcFlowBalancerEntry *target,
-                        uint64_t key_hash,
-                        LcEnvelope *e)
+lc_flow_balancer__fill_list (const LcFlowBalancer *b,
+                             const LcFlowBalancerEntry *target,
+                             uint64_t key_hash,
+                             LcEnvelope *e)
 {
   const LcCandidateSets *sets = target->sets;
 
   if (!b->is_returning)
     return lc_envelope_fill (e, sets, key_hash, target->regions);
-  if (lc_envelope__start (e, sets,
-                          lc_envelope__fill_near (e, sets, key_hash, target->regions, b->dc)))
+  if (lc_envelope__begin_list (e, sets,
+                               lc_envelope__fill_local (e, sets, key_hash, target->regions, b->dc)))
     return true;
-  return lc_flow_balancer__any_endpoint (b, sets->service_id, key_hash, e);
+  return lc_flow_balancer__fill_any_endpoint (b, sets->service_id, key_hash, e);
 }
 
 int
 lc_flow_balancer_steer (LcFlowBalancer *b, const LcPacket *packet, LcEnvelope *e, LcCandidate *to)
 {
   const LcFlowKey *key = &packet->key;
-  const LcFlowBalancerEntry *target = b->view != NULL ? lc_flow_balancer__find (b, key) : NULL;
+  const LcFlowBalancerEntry *target = b->view != NULL ? lc_flow_balancer__look_up (b, key) : NULL;
 
   if (target == NULL)
     return -LC_DROP_NO_SERVICE;
@@ -258,10 +258,10 @@
   e->stray_instance = 0;
   e->hop = 0;
   e->assigner = 0;
-  if (!lc_flow_balancer__list (b, target, lc_flow_key_hash (key), e))
+  if (!lc_flow_balancer__fill_list (b, target, lc_flow_key_hash (key), e))
     return -LC_DROP_NO_ENDPOINT;
   if (b->is_cut_off && !b->is_returning)
-    lc_flow_balancer__detour (b, target->sets, e);
+    lc_flow_balancer__add_detour (b, target->sets, e);
   *to = e->candidates[0];
   return 0;
 }
--- a/src/core/flow/lc-flow-balancer.h
+++ b/src/core/flow/lc-flow-balancer.h
@@ -19,7 +19,7 @@
 #include "lc-candidates.h"
 #include "lc-envelope.h"
 #include "lc-flow-key.h"
-#include "lc-reach.h"
+#include "lc-probe-detector.h"
 
 #ifdef __cplusplus
 extern "C"
@@ -61,11 +61,11 @@
   /* Drops all compiled sets. */
   void lc_flow_balancer_set_view (LcFlowBalancer *balancer, const LcView *view);
   /* Drops the compiled sets of one service that changed in the view. */
-  void lc_flow_balancer_forget (LcFlowBalancer *balancer, LcServiceId service_id);
+  void lc_flow_balancer_drop_service (LcFlowBalancer *balancer, LcServiceId service_id);
 
   /* Copies which agents are suspect: they are homes only where there are no others. */
   void lc_flow_balancer_mark_suspects (LcFlowBalancer *balancer,
-                                       const LcReach *detector,
+                                       const LcProbeDetector *detector,
                                        int64_t now_us);
 
   /* The view has had no update for so long that homes may be gone unnoticed: packets then go first
--- a/src/core/flow/lc-flow-finder.c
+++ b/src/core/flow/lc-flow-finder.c
@@ -7,32 +7,32 @@
 
 /* After this time a lost endpoint's flows count as gone: longer than the lease, and than the time
  * after which a platform reports a cut-off VM as disconnected (4 to 5 s). */
-#define LC_FLOW_LOST_US (5 * LC_US_PER_S)
+#define LC_FLOW_LOST_TIMEOUT_US (5 * LC_US_PER_S)
 
 /* An endpoint that leaves queries unanswered for this long counts as dead or cut off.  When all
  * endpoints restart at once, the view may not show that for 15 s, since nobody has a lease of one
  * that did not come back; one such endpoint kept every caller of a lost flow waiting for its time
  * limit.  Longer than the restart of an agent: 0.15 s to its end, some 0.5 s until it is started,
  * 1 s for its first view when its first upstream has none. */
-#define LC_FLOW_SILENT_US (5 * LC_US_PER_S / 2)
+#define LC_FLOW_SILENT_TIMEOUT_US (5 * LC_US_PER_S / 2)
 
 /* === private: members ======================================================================= */
 
 static bool
 lc_flow_finder__is_direct (const LcFlowAgent *a)
 {
-  return a->assign.n_peers <= LC_FLOW_FINDER_DIRECT;
+  return a->assign.n_peers <= LC_FLOW_FINDER_DIRECT_MAX;
 }
 
 /* Whether a search waits for this endpoint.  One that is LOST in the view may be alive and cut
- * off; after LC_FLOW_LOST_US its callers are better served by a new flow, and so are
+ * off; after LC_FLOW_LOST_TIMEOUT_US its callers are better served by a new flow, and so are
  * those of an endpoint that does not answer. */
 static bool
 lc_flow_finder__is_awaited (const LcAssignPeer *p, int64_t now_us)
 {
-  if (p->asked_us != 0 && now_us - p->asked_us >= LC_FLOW_SILENT_US)
+  if (p->asked_us != 0 && now_us - p->asked_us >= LC_FLOW_SILENT_TIMEOUT_US)
     return false;
-  return p->lost_us == 0 || now_us - p->lost_us < LC_FLOW_LOST_US;
+  return p->lost_us == 0 || now_us - p->lost_us < LC_FLOW_LOST_TIMEOUT_US;
 }
 
 static LcFlowSearchMember
@@ -50,7 +50,7 @@
 /* Roster revision of the sender.  An older program sends that of its candidate set only: if that is
  * newer than the set here, the sender may have an endpoint that is unknown here. */
 static LcRevision
-lc_flow_finder__newest (const LcFlowAgent *a, const LcFlowMessage *m)
+lc_flow_finder__sender_roster (const LcFlowAgent *a, const LcFlowMessage *m)
 {
   if (m->roster != 0)
     return m->roster;
@@ -61,12 +61,12 @@
 
 /* The agents that rotate as searchers of this flow: the highest rendezvous scores for its shard. */
 static uint32_t
-lc_flow_finder__searchers (const LcFlowAgent *a,
-                           const LcPacket *packet,
-                           const LcAssignPeer *best[LC_FLOW_FINDER_TURNS])
+lc_flow_finder__rank_searchers (const LcFlowAgent *a,
+                                const LcPacket *packet,
+                                const LcAssignPeer *best[LC_FLOW_FINDER_SEARCHERS])
 {
   uint64_t shard = lc_flow_key_hash (&packet->key) % LC_FLOW_FINDER_SHARDS;
-  uint64_t scores[LC_FLOW_FINDER_TURNS] = { 0 };
+  uint64_t scores[LC_FLOW_FINDER_SEARCHERS] = { 0 };
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < a->assign.n_peers; i++)
@@ -79,9 +79,9 @@
         continue;
       while (at > 0 && scores[at - 1] < score)
         at--;
-      if (at == LC_FLOW_FINDER_TURNS)
+      if (at == LC_FLOW_FINDER_SEARCHERS)
         continue;
-      n = MIN (n + 1, (uint32_t)LC_FLOW_FINDER_TURNS);
+      n = MIN (n + 1, (uint32_t)LC_FLOW_FINDER_SEARCHERS);
       for (uint32_t k = n - 1; k > at; k--)
         {
           scores[k] = scores[k - 1];
@@ -94,22 +94,22 @@
 }
 
 static const LcCandidate *
-lc_flow_finder__searcher (const LcFlowAgent *a, const LcPacket *packet, int64_t now_us)
+lc_flow_finder__choose_searcher (const LcFlowAgent *a, const LcPacket *packet, int64_t now_us)
 {
-  const LcAssignPeer *best[LC_FLOW_FINDER_TURNS];
-  uint32_t n = lc_flow_finder__searchers (a, packet, best);
+  const LcAssignPeer *best[LC_FLOW_FINDER_SEARCHERS];
+  uint32_t n = lc_flow_finder__rank_searchers (a, packet, best);
 
-  return n > 0 ? &best[(uint64_t)(now_us / LC_FLOW_FINDER_TURN_US) % n]->agent : NULL;
+  return n > 0 ? &best[(uint64_t)(now_us / LC_FLOW_FINDER_ROTATION_US) % n]->agent : NULL;
 }
 
 /* === private: the searcher ================================================================== */
 
 static void
-lc_flow_finder__take_lost (LcFlowAgent *a)
+lc_flow_finder__queue_resets (LcFlowAgent *a)
 {
   LcPacket packet;
 
-  while (lc_flow_search_next_lost (a->searches, &packet))
+  while (lc_flow_search_next_unowned (a->searches, &packet))
     {
       a->counts.unowned_total++;
       g_array_append_val (a->resets, packet);
@@ -117,12 +117,12 @@
 }
 
 static void
-lc_flow_finder__ask_member (LcFlowAgent *a,
-                            const LcFlowRound *round,
-                            LcAssignPeer *peer,
-                            int64_t now_us)
+lc_flow_finder__query_member (LcFlowAgent *a,
+                              const LcFlowRound *round,
+                              LcAssignPeer *peer,
+                              int64_t now_us)
 {
-  LcFlowMessage *m = lc_flow_pointers_message (a, LC_FLOW_ASK, &peer->agent);
+  LcFlowMessage *m = lc_flow_pointers_add_message (a, LC_FLOW_QUERY, &peer->agent);
 
   m->round = round->id;
   m->n = round->n;
@@ -149,43 +149,44 @@
 {
   for (uint32_t i = 0; i < a->searches->n_members; i++)
     {
-      LcAssignPeer *peer = lc_assign_peer (&a->assign, a->searches->members[i].id);
+      LcAssignPeer *peer = lc_assign_find_peer (&a->assign, a->searches->members[i].id);
 
-      if (peer == NULL || peer->agent.id == a->desc.self.id || !lc_flow_search_is_asked (round, i))
+      if (peer == NULL || peer->agent.id == a->desc.self.id ||
+          !lc_flow_search_is_unanswered (round, i))
         continue;
       if (lc_flow_finder__is_silent (peer, now_us) &&
           now_us - peer->asked_last_us < LC_FLOW_ROUND_RETRY_US)
         continue;
-      lc_flow_finder__ask_member (a, round, peer, now_us);
+      lc_flow_finder__query_member (a, round, peer, now_us);
     }
 }
 
 static void
-lc_flow_finder__ask (LcFlowAgent *a, int64_t now_us)
+lc_flow_finder__send_rounds (LcFlowAgent *a, int64_t now_us)
 {
   const LcFlowRound *round;
 
   while (!lc_flow_finder__is_direct (a) &&
-         (round = lc_flow_search_round (a->searches, now_us)) != NULL)
+         (round = lc_flow_search_next_round (a->searches, now_us)) != NULL)
     lc_flow_finder__send_round (a, round, now_us);
 }
 
-static LcFlowSearchTurn
-lc_flow_finder__turn (const LcFlowAgent *a, const LcFlowSearch *search)
+static LcFlowSearchTargets
+lc_flow_finder__targets (const LcFlowAgent *a, const LcFlowSearch *search)
 {
   if (!search->is_new_packet)
-    return LC_FLOW_SEARCH_NEXT;
-  return lc_flow_finder__is_direct (a) ? LC_FLOW_SEARCH_ALL : LC_FLOW_SEARCH_NEXT_NEW;
+    return LC_FLOW_SEARCH_UNTRIED;
+  return lc_flow_finder__is_direct (a) ? LC_FLOW_SEARCH_ALL : LC_FLOW_SEARCH_UNTRIED_OR_ALL;
 }
 
 static bool
 lc_flow_finder__may_try (void *user, LcEndpointId id)
 {
   const LcFlowAgent *a = user;
-  const LcAssignPeer *peer = lc_assign_peer (&a->assign, id);
+  const LcAssignPeer *peer = lc_assign_find_peer (&a->assign, id);
 
   return peer != NULL && id != a->desc.self.id &&
-         (lc_flow_finder__is_direct (a) || peer->coverage == LC_FLOW_KNOWS_SOME);
+         (lc_flow_finder__is_direct (a) || peer->coverage == LC_FLOW_COVERAGE_PARTIAL);
 }
 
 /* === private: queries ======================================================================= */
@@ -200,10 +201,10 @@
 
 /* Adds what this agent has of the flow to the answer: owner, confirmed pointer or unsure. */
 static void
-lc_flow_finder__say (LcFlowAgent *a, const LcFlowKey *key, LcFlowMessage *answer)
+lc_flow_finder__add_answer (LcFlowAgent *a, const LcFlowKey *key, LcFlowMessage *answer)
 {
   LcFlow *f = lc_flow_table_find (&a->table, key, lc_flow_key_hash (key));
-  LcSteerKnown known = lc_flow_agent__known (a, f);
+  LcSteerEntry known = lc_flow_agent__describe_entry (a, f);
   bool is_pointer = known.kind == LC_FLOW_POINTER && known.is_live && known.is_confirmed;
   LcCandidate owner = is_pointer ? known.other : (LcCandidate){ 0 };
   LcFlowEntry *entry;
@@ -213,7 +214,7 @@
   if (f->kind == LC_FLOW_OWNED)
     owner = a->desc.self;
   if (f->kind == LC_FLOW_OWNED && (f->flags & LC_FLOW_QUEUED) == 0)
-    lc_flow_pointers_start (a, f); /* its homes have lost it */
+    lc_flow_pointers_begin_registration (a, f); /* its homes have lost it */
   entry = &answer->entries[answer->n++];
   entry->key = *key;
   entry->is_unsure = lc_flow_finder__is_unsure (f);
@@ -226,10 +227,10 @@
 /* === public: searching ====================================================================== */
 
 LcFlowAction
-lc_flow_finder_walk_ended (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
+lc_flow_finder_end_walk (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
 {
   const LcCandidate *searcher =
-      lc_flow_finder__is_direct (a) ? NULL : lc_flow_finder__searcher (a, packet, now_us);
+      lc_flow_finder__is_direct (a) ? NULL : lc_flow_finder__choose_searcher (a, packet, now_us);
 
   if (searcher == NULL || lc_candidate_equal (searcher, &a->desc.self))
     return lc_flow_finder_search (a, e, packet, now_us);
@@ -238,12 +239,13 @@
 }
 
 void
-lc_flow_finder_tell (LcFlowAgent *a, LcEndpointId home, const LcFlowKey *key)
+lc_flow_finder_send_owner (LcFlowAgent *a, LcEndpointId home, const LcFlowKey *key)
 {
-  const LcAssignPeer *peer = lc_assign_peer (&a->assign, home);
+  const LcAssignPeer *peer = lc_assign_find_peer (&a->assign, home);
 
   if (peer != NULL && home != a->desc.self.id)
-    lc_flow_finder__say (a, key, lc_flow_pointers_message (a, LC_FLOW_ANSWER, &peer->agent));
+    lc_flow_finder__add_answer (
+        a, key, lc_flow_pointers_add_message (a, LC_FLOW_QUERY_REPLY, &peer->agent));
 }
 
 /* Begins or continues a search; `is_ruled_out`: the own backend server does not hold the flow. */
@@ -254,24 +256,24 @@
   LcFlowSearch *search = lc_flow_search_begin (a->searches, packet, now_us);
 
   a->counts.searched_total++;
-  lc_flow_returners_lost (&a->reconnects, packet->key.source_ipv4, now_us);
+  lc_flow_reconnects_add (&a->reconnects, packet->key.source_ipv4, now_us);
   search->is_new_packet = true;
-  a->next_try_slot = MIN (a->next_try_slot, lc_flow_search_place (a->searches, search));
+  a->next_try_slot = MIN (a->next_try_slot, lc_flow_search_slot_of (a->searches, search));
   if (is_ruled_out)
-    lc_flow_search_clear (a->searches, &packet->key, &self, a->roster, now_us);
+    lc_flow_search_rule_out (a->searches, &packet->key, &self, a->roster, now_us);
   return search;
 }
 
 /* Sends the packet also to homes of the balancer's view that are not in the view here: they may
  * hold the flow. */
 static void
-lc_flow_finder__try_unknown (LcFlowAgent *a, const LcEnvelope *e, uint32_t slot)
+lc_flow_finder__send_to_unknown (LcFlowAgent *a, const LcEnvelope *e, uint32_t slot)
 {
   for (uint32_t i = 0; i < e->n; i++)
     {
       LcFlowFound unknown = { slot, e->candidates[i] };
 
-      if (lc_assign_peer (&a->assign, e->candidates[i].id) == NULL)
+      if (lc_assign_find_peer (&a->assign, e->candidates[i].id) == NULL)
         g_array_append_val (a->found, unknown);
     }
 }
@@ -279,16 +281,16 @@
 LcFlowAction
 lc_flow_finder_search (LcFlowAgent *a, const LcEnvelope *e, const LcPacket *packet, int64_t now_us)
 {
-  bool knows_all = lc_flow_finder_knowledge (a, now_us) == LC_FLOW_KNOWS_ALL;
+  bool knows_all = lc_flow_finder_knowledge (a, now_us) == LC_FLOW_COVERAGE_FULL;
   LcFlowSearch *search = lc_flow_finder__begin (a, packet, knows_all, now_us);
   LcFlowAction action = { .kind = LC_FLOW_ACTION_SEARCH };
 
   search->home = e->mode == LC_MODE_FIND ? e->stray_id : 0;
-  action.search.slot = lc_flow_search_place (a->searches, search);
+  action.search.slot = lc_flow_search_slot_of (a->searches, search);
   action.search.is_local = !knows_all;
-  lc_flow_finder__try_unknown (a, e, action.search.slot);
-  lc_flow_finder__ask (a, now_us);
-  lc_flow_finder__take_lost (a);
+  lc_flow_finder__send_to_unknown (a, e, action.search.slot);
+  lc_flow_finder__send_rounds (a, now_us);
+  lc_flow_finder__queue_resets (a);
   return action;
 }
 
@@ -298,32 +300,32 @@
   LcFlowSearch *search = lc_flow_finder__begin (a, packet, true, now_us);
   LcFlowAction action = { .kind = LC_FLOW_ACTION_SEARCH };
 
-  action.search.slot = lc_flow_search_place (a->searches, search);
-  lc_flow_finder__ask (a, now_us);
-  lc_flow_finder__take_lost (a);
+  action.search.slot = lc_flow_search_slot_of (a->searches, search);
+  lc_flow_finder__send_rounds (a, now_us);
+  lc_flow_finder__queue_resets (a);
   return action;
 }
 
 LcFlowAction
-lc_flow_finder_tried (LcFlowAgent *a, const LcPacket *packet, int64_t now_us)
+lc_flow_finder_report_denial (LcFlowAgent *a, const LcPacket *packet, int64_t now_us)
 {
-  const LcAssignPeer *peer = lc_assign_peer (&a->assign, packet->mark);
+  const LcAssignPeer *peer = lc_assign_find_peer (&a->assign, packet->mark);
   LcFlowSearchMember self = lc_flow_finder__self (a);
 
   if (packet->mark == a->desc.self.id)
     {
-      lc_flow_search_clear (a->searches, &packet->key, &self, a->roster, now_us);
-      lc_flow_finder__take_lost (a);
+      lc_flow_search_rule_out (a->searches, &packet->key, &self, a->roster, now_us);
+      lc_flow_finder__queue_resets (a);
     }
   else if (peer != NULL)
-    lc_flow_pointers_entry (a, LC_FLOW_DENIED, &peer->agent)->key = packet->key;
+    lc_flow_pointers_add_entry (a, LC_FLOW_NOT_HELD, &peer->agent)->key = packet->key;
   return lc_flow_agent__drop (a, LC_DROP_NO_OWNER);
 }
 
 bool
 lc_flow_finder_next_try (LcFlowAgent *a, int64_t now_us, LcFlowTry *next)
 {
-  LcEndpointId ids[LC_FLOW_SEARCH_MAX];
+  LcEndpointId ids[LC_FLOW_SEARCH_TARGETS_MAX];
 
   if (a->found->len > 0)
     {
@@ -334,20 +336,21 @@
       return true;
     }
 
-  while (a->searches != NULL && a->next_try_slot < LC_FLOW_SEARCHES)
+  while (a->searches != NULL && a->next_try_slot < LC_FLOW_SEARCHES_MAX)
     {
       LcFlowSearch *search = lc_flow_search_at (a->searches, a->next_try_slot++, now_us);
 
       if (search == NULL)
         continue;
-      next->n = lc_flow_search_try (a->searches, search, lc_flow_finder__turn (a, search),
-                                    lc_flow_finder__may_try, a, ids);
+      next->n =
+          lc_flow_search_choose_targets (a->searches, search, lc_flow_finder__targets (a, search),
+                                         lc_flow_finder__may_try, a, ids);
       search->is_new_packet = false;
       if (next->n == 0)
         continue;
       next->slot = a->next_try_slot - 1;
       for (uint32_t i = 0; i < next->n; i++)
-        next->to[i] = lc_assign_peer (&a->assign, ids[i])->agent;
+        next->to[i] = lc_assign_find_peer (&a->assign, ids[i])->agent;
       return true;
     }
   return false;
@@ -356,7 +359,7 @@
 /* === public: messages ======================================================================= */
 
 bool
-lc_flow_finder_heard (LcAssignPeer *peer, int64_t now_us)
+lc_flow_finder_record_contact (LcAssignPeer *peer, int64_t now_us)
 {
   bool was_silent = lc_flow_finder__is_silent (peer, now_us);
 
@@ -365,56 +368,56 @@
 }
 
 void
-lc_flow_finder_catch_up (LcFlowAgent *a, LcEndpointId id, int64_t now_us)
+lc_flow_finder_send_missed_rounds (LcFlowAgent *a, LcEndpointId id, int64_t now_us)
 {
-  LcAssignPeer *peer = lc_assign_peer (&a->assign, id);
+  LcAssignPeer *peer = lc_assign_find_peer (&a->assign, id);
   LcFlowSearchMember member;
   const LcFlowRound *round;
 
   if (a->searches == NULL || peer == NULL || lc_flow_finder__is_direct (a))
     return;
   member = (LcFlowSearchMember){ peer->agent.id, peer->agent.ipv4 };
-  for (uint32_t i = 0; (round = lc_flow_search_unanswered (a->searches, &member, &i)) != NULL;)
-    lc_flow_finder__ask_member (a, round, peer, now_us);
+  for (uint32_t i = 0; (round = lc_flow_search_next_unanswered (a->searches, &member, &i)) != NULL;)
+    lc_flow_finder__query_member (a, round, peer, now_us);
 }
 
 void
-lc_flow_finder_denied (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
+lc_flow_finder_handle_denial (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
 {
   LcFlowSearchMember sender = lc_flow_finder__sender (m);
 
   if (a->searches == NULL)
     return;
   for (uint32_t i = 0; i < m->n; i++)
-    lc_flow_search_clear (a->searches, &m->entries[i].key, &sender, lc_flow_finder__newest (a, m),
-                          now_us);
-  lc_flow_finder__take_lost (a);
+    lc_flow_search_rule_out (a->searches, &m->entries[i].key, &sender,
+                             lc_flow_finder__sender_roster (a, m), now_us);
+  lc_flow_finder__queue_resets (a);
 }
 
 void
-lc_flow_finder_asked (LcFlowAgent *a, const LcFlowMessage *m)
+lc_flow_finder_handle_query (LcFlowAgent *a, const LcFlowMessage *m)
 {
-  LcFlowMessage *answer = lc_flow_pointers_message (a, LC_FLOW_ANSWER, &m->load.agent);
+  LcFlowMessage *answer = lc_flow_pointers_add_message (a, LC_FLOW_QUERY_REPLY, &m->load.agent);
 
   answer->round = m->round;
   for (uint32_t i = 0; i < m->n; i++)
-    lc_flow_finder__say (a, &m->entries[i].key, answer);
+    lc_flow_finder__add_answer (a, &m->entries[i].key, answer);
 }
 
 /* Forwards the stored packet to the owner at once: a retransmission would come 0.2 s later. */
 static void
-lc_flow_finder__found (LcFlowAgent *a, const LcFlowKey *key, const LcCandidate *owner)
+lc_flow_finder__end_found (LcFlowAgent *a, const LcFlowKey *key, const LcCandidate *owner)
 {
   LcFlowFound found = { 0, *owner };
 
-  if (!lc_flow_search_found (a->searches, key, &found.slot))
+  if (!lc_flow_search_end_found (a->searches, key, &found.slot))
     return;
-  lc_flow_finder_tell (a, a->searches->slots[found.slot].home, key);
+  lc_flow_finder_send_owner (a, a->searches->slots[found.slot].home, key);
   g_array_append_val (a->found, found);
 }
 
 void
-lc_flow_finder_answered (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
+lc_flow_finder_handle_answer (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
 {
   LcFlowSearchMember sender = lc_flow_finder__sender (m);
 
@@ -426,25 +429,26 @@
       LcCandidate owner = { e->backend_id, e->backend_ipv4, e->backend_instance, e->backend_port };
 
       if (e->is_unsure)
-        lc_flow_search_doubt (a->searches, &e->key, &sender);
+        lc_flow_search_mark_unsure (a->searches, &e->key, &sender);
       if (owner.id == 0)
         continue;
       /* An owner's own claim counts even if the view has it as LOST. */
-      if (lc_flow_pointers_learn (a, &e->key, &owner, m->load.revision, now_us) ||
+      if (lc_flow_pointers_store_reported (a, &e->key, &owner, m->load.revision, now_us) ||
           lc_candidate_equal (&owner, &m->load.agent))
-        lc_flow_finder__found (a, &e->key, &owner);
+        lc_flow_finder__end_found (a, &e->key, &owner);
     }
-  if (m->load.coverage == LC_FLOW_KNOWS_ALL)
-    lc_flow_search_answer (a->searches, m->round, &sender, lc_flow_finder__newest (a, m), now_us);
+  if (m->load.coverage == LC_FLOW_COVERAGE_FULL)
+    lc_flow_search_record_answer (a->searches, m->round, &sender,
+                                  lc_flow_finder__sender_roster (a, m), now_us);
   else
-    lc_flow_search_cannot_say (a->searches, m->round, &sender);
-  lc_flow_finder__take_lost (a);
+    lc_flow_search_record_incomplete (a->searches, m->round, &sender);
+  lc_flow_finder__queue_resets (a);
 }
 
 /* === public: time =========================================================================== */
 
 void
-lc_flow_finder_set_members (LcFlowAgent *a, int64_t now_us)
+lc_flow_finder_update_members (LcFlowAgent *a, int64_t now_us)
 {
   LcFlowSearchMember *members = g_new (LcFlowSearchMember, a->assign.n_peers + 1);
   uint32_t n = 0;
@@ -458,7 +462,7 @@
     }
   if (!lc_flow_searches_has_members (a->searches, members, n, a->roster))
     lc_flow_searches_set_members (a->searches, members, n, a->roster);
-  lc_flow_finder__take_lost (a);
+  lc_flow_finder__queue_resets (a);
   g_free (members);
 }
 
@@ -467,13 +471,13 @@
 {
   if (a->searches == NULL || a->searches->n_used == 0)
     return;
-  lc_flow_finder_set_members (a, now_us); /* lost and silent ones time out */
-  lc_flow_finder__ask (a, now_us);
+  lc_flow_finder_update_members (a, now_us); /* lost and silent ones time out */
+  lc_flow_finder__send_rounds (a, now_us);
   a->next_try_slot = 0;
 }
 
-LcFlowKnowledge
+LcFlowCoverage
 lc_flow_finder_knowledge (const LcFlowAgent *a, int64_t now_us)
 {
-  return now_us >= a->complete_from_us ? LC_FLOW_KNOWS_ALL : LC_FLOW_KNOWS_SOME;
+  return now_us >= a->complete_from_us ? LC_FLOW_COVERAGE_FULL : LC_FLOW_COVERAGE_PARTIAL;
 }
--- a/src/core/flow/lc-flow-finder.h
+++ b/src/core/flow/lc-flow-finder.h
@@ -7,13 +7,13 @@
  *   endpoint of the service (lc-flow-search.h): either the owner is found, or no backend server
  *   holds the flow and its caller gets a reset.
  *
- *   In a service of up to LC_FLOW_FINDER_DIRECT endpoints the agent at the end of the walk
+ *   In a service of up to LC_FLOW_FINDER_DIRECT_MAX endpoints the agent at the end of the walk
  *   searches and sends the packet to all of them.  In a larger one it passes the packet to one of
  *   LC_FLOW_FINDER_SHARDS searchers, chosen by the flow's hash, which queries agents in rounds:
  *   messages a second are then at most shards x rounds x endpoints x 2 (163 endpoints: 104,000
  *   while every caller of the service searches; 64 packets and as many answers for each single flow
  *   were 360,000), and no message grows with the flows of the service or with its endpoints.  The
- *   searcher of a flow rotates each LC_FLOW_FINDER_TURN_US, so that one that does not respond
+ *   searcher of a flow rotates each LC_FLOW_FINDER_ROTATION_US, so that one that does not respond
  *   costs one copy of a packet.
  *
  * COMPLETE KNOWLEDGE
@@ -42,30 +42,30 @@
 
   enum
   {
-    LC_FLOW_FINDER_DIRECT = 16,
+    LC_FLOW_FINDER_DIRECT_MAX = 16,
     LC_FLOW_FINDER_SHARDS = 16,
-    LC_FLOW_FINDER_TURNS = 3, /* searchers that rotate for one shard */
+    LC_FLOW_FINDER_SEARCHERS = 3, /* searchers that rotate for one shard */
   };
 
 /* A caller retransmits after 0.2, 0.6 and 1.4 s.  One searcher has the time to finish; if it does
  * not respond, a retransmission within about the first second reaches another. */
-#define LC_FLOW_FINDER_TURN_US (700 * LC_US_PER_MS)
+#define LC_FLOW_FINDER_ROTATION_US (700 * LC_US_PER_MS)
 
   typedef struct
   {
     uint32_t slot; /* LcFlowAction.search.slot */
     uint32_t n;
-    LcCandidate to[LC_FLOW_SEARCH_MAX];
+    LcCandidate to[LC_FLOW_SEARCH_TARGETS_MAX];
   } LcFlowTry;
 
   /* Handles the end of a walk without an owner: searches here or forwards to the searcher. */
-  LcFlowAction lc_flow_finder_walk_ended (LcFlowAgent *agent,
-                                          LcEnvelope *envelope,
-                                          const LcPacket *packet,
-                                          int64_t now_us);
+  LcFlowAction lc_flow_finder_end_walk (LcFlowAgent *agent,
+                                        LcEnvelope *envelope,
+                                        const LcPacket *packet,
+                                        int64_t now_us);
   /* Sends the flow's owner to the home that forwarded a packet without knowing it.  If the owner's
    * view is old, each of its packets would take this detour otherwise. */
-  void lc_flow_finder_tell (LcFlowAgent *agent, LcEndpointId home, const LcFlowKey *key);
+  void lc_flow_finder_send_owner (LcFlowAgent *agent, LcEndpointId home, const LcFlowKey *key);
   /* Searches here for the owner of a packet that came in this envelope. */
   LcFlowAction lc_flow_finder_search (LcFlowAgent *agent,
                                       const LcEnvelope *envelope,
@@ -75,26 +75,29 @@
   LcFlowAction
   lc_flow_finder_search_returned (LcFlowAgent *agent, const LcPacket *packet, int64_t now_us);
   /* Handles a packet of a search that the own backend server returned: informs the searcher. */
-  LcFlowAction lc_flow_finder_tried (LcFlowAgent *agent, const LcPacket *packet, int64_t now_us);
+  LcFlowAction
+  lc_flow_finder_report_denial (LcFlowAgent *agent, const LcPacket *packet, int64_t now_us);
   /* Next packet of a search to send, and its targets; false: none.  Call it until then after each
    * LC_FLOW_ACTION_SEARCH and each tick: it turns out later which agents' knowledge is incomplete.
    * `slot` is the action's, under which the packet was stored. */
   bool lc_flow_finder_next_try (LcFlowAgent *agent, int64_t now_us, LcFlowTry *next);
 
   /* Records a message of any kind from a peer; whether it had left queries unanswered before. */
-  bool lc_flow_finder_heard (LcAssignPeer *peer, int64_t now_us);
+  bool lc_flow_finder_record_contact (LcAssignPeer *peer, int64_t now_us);
   /* Sends a peer that was silent the rounds that it was not queried for meanwhile. */
-  void lc_flow_finder_catch_up (LcFlowAgent *agent, LcEndpointId id, int64_t now_us);
+  void lc_flow_finder_send_missed_rounds (LcFlowAgent *agent, LcEndpointId id, int64_t now_us);
 
-  /* Handlers of LC_FLOW_DENIED, LC_FLOW_ASK and LC_FLOW_ANSWER. */
-  void lc_flow_finder_denied (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
-  void lc_flow_finder_asked (LcFlowAgent *agent, const LcFlowMessage *message);
-  void lc_flow_finder_answered (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
+  /* Handlers of LC_FLOW_NOT_HELD, LC_FLOW_QUERY and LC_FLOW_QUERY_REPLY. */
+  void
+  lc_flow_finder_handle_denial (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
+  void lc_flow_finder_handle_query (LcFlowAgent *agent, const LcFlowMessage *message);
+  void
+  lc_flow_finder_handle_answer (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
 
   /* Updates the members to account for, after a change of the service or of the time. */
-  void lc_flow_finder_set_members (LcFlowAgent *agent, int64_t now_us);
+  void lc_flow_finder_update_members (LcFlowAgent *agent, int64_t now_us);
   void lc_flow_finder_tick (LcFlowAgent *agent, int64_t now_us);
-  LcFlowKnowledge lc_flow_finder_knowledge (const LcFlowAgent *agent, int64_t now_us);
+  LcFlowCoverage lc_flow_finder_knowledge (const LcFlowAgent *agent, int64_t now_us);
 
 #ifdef __cplusplus
 }
--- a/src/core/flow/lc-flow-gate.c
+++ b/src/core/flow/lc-flow-gate.c
@@ -11,14 +11,14 @@
 /* Of the objective; the rest is for the work itself and the answer's way back. */
 #define LC_FLOW_GATE_LATE_PERMILLE 800
 #define LC_FLOW_GATE_OBJECTIVE_US (500 * LC_US_PER_MS)
-#define LC_FLOW_GATE_DOUBT_US LC_US_PER_S
+#define LC_FLOW_GATE_ANSWER_TIMEOUT_US LC_US_PER_S
 #define LC_FLOW_GATE_PROBE_US (200 * LC_US_PER_MS)
 #define LC_FLOW_GATE_GIVE_UP_US (2 * LC_US_PER_S)
 
 /* === private ================================================================================ */
 
 static int64_t
-lc_flow_gate__or_us (int64_t value_us, int64_t when_zero_us)
+lc_flow_gate__or_default (int64_t value_us, int64_t when_zero_us)
 {
   return value_us != 0 ? value_us : when_zero_us;
 }
@@ -41,7 +41,7 @@
 }
 
 static void
-lc_flow_gate__put (GArray *requests, uint32_t flow, int64_t at_us)
+lc_flow_gate__append (GArray *requests, uint32_t flow, int64_t at_us)
 {
   LcFlowGateRequest request = { flow, at_us };
 
@@ -49,7 +49,7 @@
 }
 
 static void
-lc_flow_gate__doubt (LcFlowGate *gate, int64_t now_us)
+lc_flow_gate__uncount_unanswered (LcFlowGate *gate, int64_t now_us)
 {
   guint n = 0;
 
@@ -114,12 +114,12 @@
 
 /* For the waiting request at this index. */
 static bool
-lc_flow_gate__has_room (LcFlowGate *gate, guint index, int64_t now_us)
+lc_flow_gate__may_pass (LcFlowGate *gate, guint index, int64_t now_us)
 {
   bool is_late = lc_flow_gate__is_late (gate, lc_flow_gate__at (gate->waiting, index), now_us);
   uint32_t limit = gate->slots + (is_late ? 0 : gate->desc.ahead);
 
-  if (!lc_cold_limit_has_room (&gate->cold, now_us))
+  if (!lc_warmup_limit_allows (&gate->cold, now_us))
     return false;
   if (gate->slots == 0 || gate->in_flight->len < limit)
     return true;
@@ -132,8 +132,8 @@
 static void
 lc_flow_gate__pass (LcFlowGate *gate, uint32_t flow, int64_t now_us)
 {
-  lc_flow_gate__put (gate->in_flight, flow, now_us);
-  lc_cold_limit_note (&gate->cold, now_us);
+  lc_flow_gate__append (gate->in_flight, flow, now_us);
+  lc_warmup_limit_record (&gate->cold, now_us);
   gate->last_passed_us = now_us;
 }
 
@@ -148,9 +148,10 @@
   *d = *desc;
   d->ahead = d->ahead != 0 ? d->ahead : LC_FLOW_GATE_AHEAD;
   d->max_waiting = d->max_waiting != 0 ? d->max_waiting : LC_FLOW_GATE_MAX_WAITING;
-  d->answer_timeout_us = lc_flow_gate__or_us (d->answer_timeout_us, LC_FLOW_GATE_DOUBT_US);
-  d->probe_us = lc_flow_gate__or_us (d->probe_us, LC_FLOW_GATE_PROBE_US);
-  d->give_up_us = lc_flow_gate__or_us (d->give_up_us, LC_FLOW_GATE_GIVE_UP_US);
+  d->answer_timeout_us =
+      lc_flow_gate__or_default (d->answer_timeout_us, LC_FLOW_GATE_ANSWER_TIMEOUT_US);
+  d->probe_us = lc_flow_gate__or_default (d->probe_us, LC_FLOW_GATE_PROBE_US);
+  d->give_up_us = lc_flow_gate__or_default (d->give_up_us, LC_FLOW_GATE_GIVE_UP_US);
   gate->in_flight = g_array_new (FALSE, FALSE, sizeof (LcFlowGateRequest));
   gate->waiting = g_array_new (FALSE, FALSE, sizeof (LcFlowGateRequest));
 }
@@ -167,27 +168,27 @@
 lc_flow_gate_set_server (LcFlowGate *gate, uint32_t slots, int64_t objective_us)
 {
   gate->slots = slots;
-  gate->late_us = lc_flow_gate__or_us (objective_us, LC_FLOW_GATE_OBJECTIVE_US) *
+  gate->late_us = lc_flow_gate__or_default (objective_us, LC_FLOW_GATE_OBJECTIVE_US) *
                   LC_FLOW_GATE_LATE_PERMILLE / 1000;
 }
 
 LcFlowGateVerdict
-lc_flow_gate_request (LcFlowGate *gate, uint32_t flow, int64_t began_us, int64_t now_us)
+lc_flow_gate_submit (LcFlowGate *gate, uint32_t flow, int64_t began_us, int64_t now_us)
 {
   if (lc_flow_gate__find (gate->in_flight, flow) < gate->in_flight->len)
     return LC_FLOW_GATE_PASS;
   if (lc_flow_gate__find (gate->waiting, flow) < gate->waiting->len)
     return LC_FLOW_GATE_WAIT;
-  if (gate->waiting->len >= gate->desc.max_waiting && lc_cold_limit_has_room (&gate->cold, now_us))
+  if (gate->waiting->len >= gate->desc.max_waiting && lc_warmup_limit_allows (&gate->cold, now_us))
     {
       gate->overflows_total++;
       lc_flow_gate__pass (gate, flow, now_us);
       return LC_FLOW_GATE_PASS;
     }
-  lc_flow_gate__doubt (gate, now_us);
-  lc_flow_gate__put (gate->waiting, flow, began_us);
+  lc_flow_gate__uncount_unanswered (gate, now_us);
+  lc_flow_gate__append (gate->waiting, flow, began_us);
   if (lc_flow_gate__choose (gate, now_us) == gate->waiting->len - 1 &&
-      lc_flow_gate__has_room (gate, gate->waiting->len - 1, now_us))
+      lc_flow_gate__may_pass (gate, gate->waiting->len - 1, now_us))
     {
       g_array_set_size (gate->waiting, gate->waiting->len - 1);
       lc_flow_gate__pass (gate, flow, now_us);
@@ -198,7 +199,7 @@
 }
 
 void
-lc_flow_gate_end (LcFlowGate *gate, uint32_t flow)
+lc_flow_gate_remove (LcFlowGate *gate, uint32_t flow)
 {
   guint in_flight = lc_flow_gate__find (gate->in_flight, flow);
   guint waiting = lc_flow_gate__find (gate->waiting, flow);
@@ -210,15 +211,15 @@
 }
 
 bool
-lc_flow_gate_next (LcFlowGate *gate, int64_t now_us, uint32_t *flow)
+lc_flow_gate_pass_next (LcFlowGate *gate, int64_t now_us, uint32_t *flow)
 {
   guint i;
 
-  lc_flow_gate__doubt (gate, now_us);
+  lc_flow_gate__uncount_unanswered (gate, now_us);
   if (gate->waiting->len == 0)
     return false;
   i = lc_flow_gate__choose (gate, now_us);
-  if (!lc_flow_gate__has_room (gate, i, now_us))
+  if (!lc_flow_gate__may_pass (gate, i, now_us))
     return false;
   *flow = lc_flow_gate__at (gate->waiting, i)->flow;
   g_array_remove_index (gate->waiting, i);
@@ -227,7 +228,7 @@
 }
 
 bool
-lc_flow_gate_give_up (LcFlowGate *gate, int64_t now_us, uint32_t *flow)
+lc_flow_gate_drop_expired (LcFlowGate *gate, int64_t now_us, uint32_t *flow)
 {
   for (guint i = 0; i < gate->waiting->len; i++)
     if (now_us - lc_flow_gate__at (gate->waiting, i)->at_us >= gate->desc.give_up_us)
@@ -241,7 +242,7 @@
 }
 
 uint32_t
-lc_flow_gate_n_working (const LcFlowGate *gate)
+lc_flow_gate_n_in_flight (const LcFlowGate *gate)
 {
   return gate->in_flight->len;
 }
--- a/src/core/flow/lc-flow-gate.h
+++ b/src/core/flow/lc-flow-gate.h
@@ -25,18 +25,18 @@
  *   - At most `max_waiting` wait; further ones pass, and the server's own refusal answers them for
  *     certain.
  *   - A request that has waited for `give_up_us` is dropped: its caller has given up.
- *   - A cold backend server gets no more than its rate (lc-cold-limit.h): neither a probe nor a
+ *   - A cold backend server gets no more than its rate (lc-warmup-limit.h): neither a probe nor a
  *     full queue lets a request pass beyond it.
  *
  * HOW TO USE IT
  *     lc_flow_gate_init (&gate, &desc);
  *     lc_flow_gate_set_server (&gate, slots, objective_us);
- *     if (lc_flow_gate_request (&gate, flow, began_us, now_us) == LC_FLOW_GATE_WAIT)
+ *     if (lc_flow_gate_submit (&gate, flow, began_us, now_us) == LC_FLOW_GATE_WAIT)
  *       hold its packets
- *     lc_flow_gate_end (&gate, flow);                         answered, or ended otherwise
- *     while (lc_flow_gate_next (&gate, now_us, &flow))
+ *     lc_flow_gate_remove (&gate, flow);                         answered, or ended otherwise
+ *     while (lc_flow_gate_pass_next (&gate, now_us, &flow))
  *       give its packets to the backend server
- *     while (lc_flow_gate_give_up (&gate, now_us, &flow))
+ *     while (lc_flow_gate_drop_expired (&gate, now_us, &flow))
  *       drop its packets
  *     lc_flow_gate_finish (&gate);
  *
@@ -47,7 +47,7 @@
 #ifndef LC_FLOW_GATE_H
 #define LC_FLOW_GATE_H
 
-#include "lc-cold-limit.h"
+#include "lc-warmup-limit.h"
 
 #include <glib.h>
 
@@ -93,7 +93,7 @@
     GArray *in_flight;      /* LcFlowGateRequest, the oldest first */
     GArray *waiting;        /* LcFlowGateRequest */
     int64_t last_passed_us; /* when a request last passed */
-    LcColdLimit cold;
+    LcWarmupLimit cold;
     uint64_t waited_total;
     uint64_t given_up_total;
     uint64_t unanswered_total; /* not counted any more, for want of an answer */
@@ -108,15 +108,15 @@
 
   /* Call it for each packet of a request; the first one submits the request. */
   LcFlowGateVerdict
-  lc_flow_gate_request (LcFlowGate *gate, uint32_t flow, int64_t began_us, int64_t now_us);
+  lc_flow_gate_submit (LcFlowGate *gate, uint32_t flow, int64_t began_us, int64_t now_us);
   /* Removes the flow's request, if any: it is answered, given up, or moved to another agent. */
-  void lc_flow_gate_end (LcFlowGate *gate, uint32_t flow);
+  void lc_flow_gate_remove (LcFlowGate *gate, uint32_t flow);
   /* Passes the next waiting request that there is room for; false: none. */
-  bool lc_flow_gate_next (LcFlowGate *gate, int64_t now_us, uint32_t *flow);
+  bool lc_flow_gate_pass_next (LcFlowGate *gate, int64_t now_us, uint32_t *flow);
   /* Removes a request that has waited for give_up_us; false: none. */
-  bool lc_flow_gate_give_up (LcFlowGate *gate, int64_t now_us, uint32_t *flow);
+  bool lc_flow_gate_drop_expired (LcFlowGate *gate, int64_t now_us, uint32_t *flow);
   /* Requests passed to the backend server and not ended. */
-  uint32_t lc_flow_gate_n_working (const LcFlowGate *gate);
+  uint32_t lc_flow_gate_n_in_flight (const LcFlowGate *gate);
   uint32_t lc_flow_gate_n_waiting (const LcFlowGate *gate);
   /* Requests that go before a new one: those at the server, and those waiting that are not late. */
   uint32_t lc_flow_gate_load (const LcFlowGate *gate, int64_t now_us);
--- a/src/core/flow/lc-flow-message.h
+++ b/src/core/flow/lc-flow-message.h
@@ -31,10 +31,10 @@
     LC_FLOW_LOAD = 3,         /* load report, to every agent of the service */
     LC_FLOW_HAND_OVER = 4,    /* leaving owner to adopter, or adopter to the restarted owner */
     LC_FLOW_HAND_OVER_ACK = 5,
-    LC_FLOW_CONTEST = 6, /* home to the registered owner: another agent claims these flows */
-    LC_FLOW_DENIED = 7,  /* to a searching agent: the backend server here lacks these flows */
-    LC_FLOW_ASK = 8,     /* searching agent to another: does its backend server have any of these */
-    LC_FLOW_ANSWER = 9,  /* reply to LC_FLOW_ASK: those flows whose owner is known */
+    LC_FLOW_CONFLICT = 6, /* home to the registered owner: another agent claims these flows */
+    LC_FLOW_NOT_HELD = 7, /* to a searching agent: the backend server here lacks these flows */
+    LC_FLOW_QUERY = 8, /* searching agent to another: does its backend server have any of these */
+    LC_FLOW_QUERY_REPLY = 9, /* reply to LC_FLOW_QUERY: those flows whose owner is known */
   } LcFlowMessageKind;
 
   typedef struct
--- a/src/core/flow/lc-flow-pointers.c
+++ b/src/core/flow/lc-flow-pointers.c
@@ -14,7 +14,7 @@
 /* === private: batches ======================================================================= */
 
 LcFlowEntry *
-lc_flow_pointers_entry (LcFlowAgent *a, LcFlowMessageKind kind, const LcCandidate *to)
+lc_flow_pointers_add_entry (LcFlowAgent *a, LcFlowMessageKind kind, const LcCandidate *to)
 {
   uint32_t looked = 0;
   LcFlowMessage *m;
@@ -26,12 +26,12 @@
       if (m->kind == kind && m->n < LC_FLOW_BATCH_MAX && lc_candidate_equal (&m->to, to))
         return &m->entries[m->n++];
     }
-  m = lc_flow_pointers_message (a, kind, to);
+  m = lc_flow_pointers_add_message (a, kind, to);
   return &m->entries[m->n++];
 }
 
 static uint16_t
-lc_flow_pointers__all (const LcCandidateList *list)
+lc_flow_pointers__all_bits (const LcCandidateList *list)
 {
   return (uint16_t)((1U << list->n) - 1);
 }
@@ -46,10 +46,10 @@
 }
 
 static void
-lc_flow_pointers__pick (const LcFlowAgent *a,
-                        const LcCandidateSets *sets,
-                        const LcFlow *f,
-                        LcCandidateList *list)
+lc_flow_pointers__pick_homes (const LcFlowAgent *a,
+                              const LcCandidateSets *sets,
+                              const LcFlow *f,
+                              LcCandidateList *list)
 {
   LcRegionMask regions = lc_flow_agent__home_regions (a, &f->key);
   uint64_t hash = lc_flow_key_hash (&f->key);
@@ -60,7 +60,7 @@
       lc_candidates_pick (sets, hash, regions, list);
       return;
     }
-  list->n = (uint8_t)lc_candidates_near_homes (sets, hash, f->dc, regions, homes);
+  list->n = (uint8_t)lc_candidates_local_homes (sets, hash, f->dc, regions, homes);
   list->n_current = list->n;
   list->assigner = 0;
   list->set_rank = UINT64_MAX;
@@ -70,7 +70,7 @@
 
 /* The bits of the current set's homes, with which the list begins. */
 static uint16_t
-lc_flow_pointers__current (const LcCandidateList *list)
+lc_flow_pointers__current_bits (const LcCandidateList *list)
 {
   return (uint16_t)((1U << list->n_current) - 1);
 }
@@ -80,23 +80,23 @@
 static void
 lc_flow_pointers__set_behind (LcFlowAgent *a, LcFlow *f, bool is_behind)
 {
-  bool was = (f->flags & LC_FLOW_BEHIND) != 0;
+  bool was = (f->flags & LC_FLOW_UNREGISTERED) != 0;
 
   if (was == is_behind)
     return;
-  f->flags ^= LC_FLOW_BEHIND;
+  f->flags ^= LC_FLOW_UNREGISTERED;
   a->n_behind += is_behind ? 1 : -1;
 }
 
 /* Updates the flow's place in the queue and in n_behind from its acknowledgements. */
 static void
-lc_flow_pointers__settle (LcFlowAgent *a, LcFlow *f, const LcCandidateList *list)
+lc_flow_pointers__update_queue (LcFlowAgent *a, LcFlow *f, const LcCandidateList *list)
 {
-  uint16_t current = lc_flow_pointers__current (list);
+  uint16_t current = lc_flow_pointers__current_bits (list);
 
   f->acked |= lc_flow_pointers__bit_of (list, &a->desc.self);
   lc_flow_pointers__set_behind (a, f, (f->acked & current) != current);
-  if (f->acked == lc_flow_pointers__all (list))
+  if (f->acked == lc_flow_pointers__all_bits (list))
     lc_flow_table_dequeue (&a->table, f);
   else
     lc_flow_table_enqueue (&a->table, f);
@@ -104,22 +104,22 @@
 
 /* Carries acknowledgements over to the list of the new sets. */
 static void
-lc_flow_pointers__remap (LcFlowAgent *a, LcFlow *f)
+lc_flow_pointers__remap_acks (LcFlowAgent *a, LcFlow *f)
 {
   LcCandidateList list;
   LcCandidateList before = { 0 };
   uint16_t acked = 0;
 
-  lc_flow_pointers__pick (a, &a->sets, f, &list);
+  lc_flow_pointers__pick_homes (a, &a->sets, f, &list);
   if (f->sets_version + 1 == a->sets_version)
-    lc_flow_pointers__pick (a, &a->previous_sets, f, &before);
+    lc_flow_pointers__pick_homes (a, &a->previous_sets, f, &before);
   for (uint8_t i = 0; i < before.n; i++)
     if ((f->acked & (1U << i)) != 0)
       acked |= lc_flow_pointers__bit_of (&list, &before.items[i]);
   f->acked = acked;
   f->sets_version = a->sets_version;
   f->sent_ms = 0;
-  lc_flow_pointers__settle (a, f, &list);
+  lc_flow_pointers__update_queue (a, f, &list);
 }
 
 static void
@@ -127,14 +127,14 @@
 {
   LcCandidateList list;
 
-  lc_flow_pointers__pick (a, &a->sets, f, &list);
+  lc_flow_pointers__pick_homes (a, &a->sets, f, &list);
   for (uint8_t i = 0; i < list.n; i++)
     {
       LcFlowEntry *entry;
 
       if ((f->acked & (1U << i)) != 0)
         continue;
-      entry = lc_flow_pointers_entry (a, LC_FLOW_POINTERS, &list.items[i]);
+      entry = lc_flow_pointers_add_entry (a, LC_FLOW_POINTERS, &list.items[i]);
       entry->key = f->key;
       entry->epoch = f->epoch;
     }
@@ -155,7 +155,7 @@
 /* === public: the owner's side =============================================================== */
 
 void
-lc_flow_pointers_start (LcFlowAgent *a, LcFlow *f)
+lc_flow_pointers_begin_registration (LcFlowAgent *a, LcFlow *f)
 {
   LcCandidateList list;
 
@@ -163,30 +163,30 @@
   f->sets_version = a->sets_version;
   f->sent_ms = 0;
   lc_flow_table_dequeue (&a->table, f);
-  lc_flow_pointers__pick (a, &a->sets, f, &list);
-  lc_flow_pointers__settle (a, f, &list);
+  lc_flow_pointers__pick_homes (a, &a->sets, f, &list);
+  lc_flow_pointers__update_queue (a, f, &list);
   if ((f->flags & LC_FLOW_QUEUED) != 0)
     lc_flow_pointers__send (a, f);
 }
 
 void
-lc_flow_pointers_sets_changed (LcFlowAgent *a)
+lc_flow_pointers_update_homes (LcFlowAgent *a)
 {
   for (uint32_t i = 0; i < a->table.capacity; i++)
     if (a->table.flows[i].kind == LC_FLOW_OWNED)
-      lc_flow_pointers__remap (a, &a->table.flows[i]);
+      lc_flow_pointers__remap_acks (a, &a->table.flows[i]);
 }
 
 void
-lc_flow_pointers_end (LcFlowAgent *a, LcFlow *f)
+lc_flow_pointers_unregister (LcFlowAgent *a, LcFlow *f)
 {
   LcCandidateList list;
 
-  lc_flow_pointers__pick (a, &a->sets, f, &list);
+  lc_flow_pointers__pick_homes (a, &a->sets, f, &list);
   for (uint8_t i = 0; i < list.n; i++)
     if (!lc_candidate_equal (&list.items[i], &a->desc.self))
       {
-        LcFlowEntry *entry = lc_flow_pointers_entry (a, LC_FLOW_POINTERS, &list.items[i]);
+        LcFlowEntry *entry = lc_flow_pointers_add_entry (a, LC_FLOW_POINTERS, &list.items[i]);
 
         entry->key = f->key;
         entry->is_end = true;
@@ -207,7 +207,7 @@
 }
 
 void
-lc_flow_pointers_flush (LcFlowAgent *a, int64_t now_us)
+lc_flow_pointers_send_due (LcFlowAgent *a, int64_t now_us)
 {
   uint32_t now_ms = (uint32_t)(now_us / LC_US_PER_MS) | 1U;
   uint32_t n = a->table.n_queued;
@@ -227,7 +227,7 @@
 }
 
 static void
-lc_flow_pointers__give_up (LcFlowAgent *a, LcFlow *f, int64_t now_us)
+lc_flow_pointers__release_refused (LcFlowAgent *a, LcFlow *f, int64_t now_us)
 {
   lc_flow_pointers_disown (a, f);
   a->counts.conflicts_total++;
@@ -240,7 +240,7 @@
 }
 
 void
-lc_flow_pointers_acked (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
+lc_flow_pointers_handle_ack (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
 {
   for (uint32_t i = 0; i < m->n; i++)
     {
@@ -252,12 +252,12 @@
         continue;
       if (m->entries[i].is_refused)
         {
-          lc_flow_pointers__give_up (a, f, now_us);
+          lc_flow_pointers__release_refused (a, f, now_us);
           continue;
         }
-      lc_flow_pointers__pick (a, &a->sets, f, &list);
+      lc_flow_pointers__pick_homes (a, &a->sets, f, &list);
       f->acked |= lc_flow_pointers__bit_of (&list, &m->load.agent);
-      lc_flow_pointers__settle (a, f, &list);
+      lc_flow_pointers__update_queue (a, f, &list);
     }
 }
 
@@ -265,10 +265,10 @@
 
 /* Whether this home has another live owner, which takes precedence over the claim. */
 static bool
-lc_flow_pointers__stands (const LcFlowAgent *a,
-                          const LcFlow *f,
-                          const LcFlowEntry *entry,
-                          const LcCandidate *claimant)
+lc_flow_pointers__must_refuse (const LcFlowAgent *a,
+                               const LcFlow *f,
+                               const LcFlowEntry *entry,
+                               const LcCandidate *claimant)
 {
   LcCandidate known = { .id = f->endpoint_id, .instance = f->instance };
 
@@ -287,7 +287,7 @@
 lc_flow_pointers__contest (LcFlowAgent *a, const LcFlow *f, const LcCandidate *claimant)
 {
   LcCandidate owner = { f->endpoint_id, f->ipv4, f->instance, f->port };
-  LcFlowEntry *entry = lc_flow_pointers_entry (a, LC_FLOW_CONTEST, &owner);
+  LcFlowEntry *entry = lc_flow_pointers_add_entry (a, LC_FLOW_CONFLICT, &owner);
 
   entry->key = f->key;
   entry->backend_id = claimant->id;
@@ -297,7 +297,7 @@
 }
 
 static void
-lc_flow_pointers__put (
+lc_flow_pointers__set_pointer (
     LcFlowAgent *a, LcFlow *f, const LcCandidate *owner, LcRevision revision, int64_t now_us)
 {
   if (f->kind == LC_FLOW_OWNED)
@@ -313,7 +313,7 @@
 }
 
 static void
-lc_flow_pointers__end_one (LcFlowAgent *a, LcFlow *f, const LcCandidate *owner)
+lc_flow_pointers__unregister_one (LcFlowAgent *a, LcFlow *f, const LcCandidate *owner)
 {
   if (f != NULL && f->kind == LC_FLOW_POINTER && f->endpoint_id == owner->id &&
       f->instance == owner->instance)
@@ -329,7 +329,7 @@
   const LcCandidate *claimant = &m->load.agent;
   uint64_t hash = lc_flow_key_hash (&entry->key);
   LcFlow *f = lc_flow_table_find (&a->table, &entry->key, hash);
-  bool is_refused = f != NULL && lc_flow_pointers__stands (a, f, entry, claimant);
+  bool is_refused = f != NULL && lc_flow_pointers__must_refuse (a, f, entry, claimant);
   LcFlowEntry *ack;
 
   if (is_refused && f->kind == LC_FLOW_POINTER)
@@ -343,20 +343,20 @@
     return;
   if (!is_refused)
     {
-      lc_flow_pointers__put (a, f, claimant, m->load.revision, now_us);
+      lc_flow_pointers__set_pointer (a, f, claimant, m->load.revision, now_us);
       f->epoch = entry->epoch;
     }
-  ack = lc_flow_pointers_entry (a, LC_FLOW_POINTERS_ACK, claimant);
+  ack = lc_flow_pointers_add_entry (a, LC_FLOW_POINTERS_ACK, claimant);
   ack->key = entry->key;
   ack->is_refused = is_refused;
 }
 
 bool
-lc_flow_pointers_learn (LcFlowAgent *a,
-                        const LcFlowKey *key,
-                        const LcCandidate *owner,
-                        LcRevision revision,
-                        int64_t now_us)
+lc_flow_pointers_store_reported (LcFlowAgent *a,
+                                 const LcFlowKey *key,
+                                 const LcCandidate *owner,
+                                 LcRevision revision,
+                                 int64_t now_us)
 {
   uint64_t hash = lc_flow_key_hash (key);
   LcFlow *f = lc_flow_table_find (&a->table, key, hash);
@@ -368,19 +368,19 @@
     f = lc_flow_table_add (&a->table, key, hash);
   if (f == NULL)
     return false;
-  lc_flow_pointers__put (a, f, owner, revision, now_us);
+  lc_flow_pointers__set_pointer (a, f, owner, revision, now_us);
   return true;
 }
 
 void
-lc_flow_pointers_register (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
+lc_flow_pointers_handle_registration (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
 {
   for (uint32_t i = 0; i < m->n; i++)
     {
       const LcFlowEntry *entry = &m->entries[i];
 
       if (entry->is_end)
-        lc_flow_pointers__end_one (
+        lc_flow_pointers__unregister_one (
             a, lc_flow_table_find (&a->table, &entry->key, lc_flow_key_hash (&entry->key)),
             &m->load.agent);
       else
@@ -389,7 +389,7 @@
 }
 
 void
-lc_flow_pointers_contested (LcFlowAgent *a, const LcFlowMessage *m)
+lc_flow_pointers_handle_contest (LcFlowAgent *a, const LcFlowMessage *m)
 {
   for (uint32_t i = 0; i < m->n; i++)
     {
@@ -398,8 +398,9 @@
                                e->backend_port };
       const LcFlow *f = lc_flow_table_find (&a->table, &e->key, lc_flow_key_hash (&e->key));
       bool is_owned = f != NULL && f->kind == LC_FLOW_OWNED;
-      LcFlowEntry *answer = is_owned ? lc_flow_pointers_entry (a, LC_FLOW_POINTERS_ACK, &claimant)
-                                     : lc_flow_pointers_entry (a, LC_FLOW_POINTERS, &m->load.agent);
+      LcFlowEntry *answer = is_owned
+                                ? lc_flow_pointers_add_entry (a, LC_FLOW_POINTERS_ACK, &claimant)
+                                : lc_flow_pointers_add_entry (a, LC_FLOW_POINTERS, &m->load.agent);
 
       answer->key = e->key;
       answer->is_refused = is_owned;
@@ -411,7 +412,7 @@
 
 /* The agent that takes over a leaving agent's flow: its first other home. */
 static bool
-lc_flow_pointers__adopter (const LcFlowAgent *a, const LcFlow *f, LcCandidate *out)
+lc_flow_pointers__find_adopter (const LcFlowAgent *a, const LcFlow *f, LcCandidate *out)
 {
   const LcSetMember *homes[LC_HOMES];
   uint32_t n;
@@ -431,7 +432,7 @@
 
 /* The newer process of the endpoint whose backend server holds an adopted flow. */
 static bool
-lc_flow_pointers__returned (const LcFlowAgent *a, const LcFlow *f, LcCandidate *out)
+lc_flow_pointers__find_restarted (const LcFlowAgent *a, const LcFlow *f, LcCandidate *out)
 {
   const LcEndpoint *e = a->view != NULL ? lc_view_endpoint (a->view, f->endpoint_id) : NULL;
 
@@ -444,7 +445,7 @@
 /* Chooses the agent to offer a flow to.  An offer stays with one agent until it is acknowledged or
  * that agent is gone: two agents that adopt one flow would each refuse the other's claim. */
 static bool
-lc_flow_pointers__choose_heir (const LcFlowAgent *a, const LcFlow *f, LcCandidate *to)
+lc_flow_pointers__choose_successor (const LcFlowAgent *a, const LcFlow *f, LcCandidate *to)
 {
   bool is_adopted = (f->flags & LC_FLOW_ADOPTED) != 0;
   LcCandidate offered = { .id = f->offered_id, .instance = f->offered_instance };
@@ -460,16 +461,16 @@
    * owner that they have. */
   if (is_adopted && (f->flags & LC_FLOW_QUEUED) != 0)
     return false;
-  if (is_adopted && lc_flow_pointers__returned (a, f, to))
+  if (is_adopted && lc_flow_pointers__find_restarted (a, f, to))
     return true;
-  return a->is_handing_over && lc_flow_pointers__adopter (a, f, to);
+  return a->is_handing_over && lc_flow_pointers__find_adopter (a, f, to);
 }
 
 static void
 lc_flow_pointers__offer (LcFlowAgent *a, LcFlow *f, const LcCandidate *to, int64_t now_us)
 {
   bool is_adopted = (f->flags & LC_FLOW_ADOPTED) != 0;
-  LcFlowEntry *entry = lc_flow_pointers_entry (a, LC_FLOW_HAND_OVER, to);
+  LcFlowEntry *entry = lc_flow_pointers_add_entry (a, LC_FLOW_HAND_OVER, to);
   int64_t left_ms = ((int64_t)f->expiry_tick - lc_flow_tick (now_us)) * LC_FLOW_TICK_US / 1000;
 
   entry->key = f->key;
@@ -497,7 +498,7 @@
 
       if (f->kind != LC_FLOW_OWNED)
         continue;
-      if (!lc_flow_pointers__choose_heir (a, f, &to))
+      if (!lc_flow_pointers__choose_successor (a, f, &to))
         continue;
       f->offered_id = to.id;
       f->offered_instance = to.instance;
@@ -538,26 +539,26 @@
   f->offered_id = 0;
   f->expiry_tick = lc_flow_tick (now_us + (int64_t)entry->idle_ms * LC_US_PER_MS) + 1;
   lc_flow_table_set_deadline (&a->table, f, now_us + a->desc.refresh_us);
-  lc_flow_pointers_start (a, f);
+  lc_flow_pointers_begin_registration (a, f);
   a->counts.adopted_total++;
 }
 
 void
-lc_flow_pointers_adopt (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
+lc_flow_pointers_handle_hand_over (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
 {
   for (uint32_t i = 0; i < m->n; i++)
     {
       LcFlowEntry *ack;
 
       lc_flow_pointers__adopt_one (a, m, &m->entries[i], now_us);
-      ack = lc_flow_pointers_entry (a, LC_FLOW_HAND_OVER_ACK, &m->load.agent);
+      ack = lc_flow_pointers_add_entry (a, LC_FLOW_HAND_OVER_ACK, &m->load.agent);
       ack->key = m->entries[i].key;
       ack->epoch = m->entries[i].epoch;
     }
 }
 
 void
-lc_flow_pointers_adopted (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
+lc_flow_pointers_handle_hand_over_ack (LcFlowAgent *a, const LcFlowMessage *m, int64_t now_us)
 {
   for (uint32_t i = 0; i < m->n; i++)
     {
@@ -566,7 +567,7 @@
 
       if (f == NULL || f->kind != LC_FLOW_OWNED)
         continue;
-      lc_flow_pointers__put (a, f, &m->load.agent, m->load.revision, now_us);
+      lc_flow_pointers__set_pointer (a, f, &m->load.agent, m->load.revision, now_us);
       f->epoch = m->entries[i].epoch;
     }
 }
@@ -574,7 +575,7 @@
 /* === public: batches ======================================================================== */
 
 LcFlowMessage *
-lc_flow_pointers_message (LcFlowAgent *a, LcFlowMessageKind kind, const LcCandidate *to)
+lc_flow_pointers_add_message (LcFlowAgent *a, LcFlowMessageKind kind, const LcCandidate *to)
 {
   LcFlowMessage *m = g_new0 (LcFlowMessage, 1);
 
--- a/src/core/flow/lc-flow-pointers.h
+++ b/src/core/flow/lc-flow-pointers.h
@@ -2,8 +2,8 @@
  *
  * WHAT IT IS
  *   The part of lc-flow-agent that exchanges messages about flows.  The homes of a flow are the
- *   list that lc_candidates_pick computes from this agent's own sets (lc_candidates_near_homes with
- *   desc.returns_packets); bit i of LcFlow.acked: entry i has acknowledged the registration.
+ *   list that lc_candidates_pick computes from this agent's own sets (lc_candidates_local_homes
+ *   with desc.returns_packets); bit i of LcFlow.acked: entry i has acknowledged the registration.
  *
  * HOW TO USE IT
  *   Called by the modules of lc-flow-agent only.
@@ -26,20 +26,27 @@
   bool lc_flow_view_is_gone (const LcView *view, const LcCandidate *who, LcRevision revision);
 
   /* Begins to register an owned flow with its homes, or repeats it. */
-  void lc_flow_pointers_start (LcFlowAgent *agent, LcFlow *flow);
+  void lc_flow_pointers_begin_registration (LcFlowAgent *agent, LcFlow *flow);
   /* Finds the homes that lack a pointer after a change of the candidate sets. */
-  void lc_flow_pointers_sets_changed (LcFlowAgent *agent);
+  void lc_flow_pointers_update_homes (LcFlowAgent *agent);
   /* Unregisters an ended flow, once; pointers expire if the message is lost. */
-  void lc_flow_pointers_end (LcFlowAgent *agent, LcFlow *flow);
+  void lc_flow_pointers_unregister (LcFlowAgent *agent, LcFlow *flow);
   /* Sends the registrations that are due, oldest first. */
-  void lc_flow_pointers_flush (LcFlowAgent *agent, int64_t now_us);
+  void lc_flow_pointers_send_due (LcFlowAgent *agent, int64_t now_us);
 
   /* Message handlers. */
-  void lc_flow_pointers_register (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
-  void lc_flow_pointers_contested (LcFlowAgent *agent, const LcFlowMessage *message);
-  void lc_flow_pointers_acked (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
-  void lc_flow_pointers_adopt (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
-  void lc_flow_pointers_adopted (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
+  void lc_flow_pointers_handle_registration (LcFlowAgent *agent,
+                                             const LcFlowMessage *message,
+                                             int64_t now_us);
+  void lc_flow_pointers_handle_contest (LcFlowAgent *agent, const LcFlowMessage *message);
+  void
+  lc_flow_pointers_handle_ack (LcFlowAgent *agent, const LcFlowMessage *message, int64_t now_us);
+  void lc_flow_pointers_handle_hand_over (LcFlowAgent *agent,
+                                          const LcFlowMessage *message,
+                                          int64_t now_us);
+  void lc_flow_pointers_handle_hand_over_ack (LcFlowAgent *agent,
+                                              const LcFlowMessage *message,
+                                              int64_t now_us);
 
   /* Offers owned flows of a leaving agent to adopters, and adopted flows to their endpoint's new
    * process; at most `budget` a call. */
@@ -50,17 +57,17 @@
 
   /* Stores a pointer to a reported owner.  False: the flow is owned here, that owner is gone in the
    * view, or the table is full. */
-  bool lc_flow_pointers_learn (LcFlowAgent *agent,
-                               const LcFlowKey *key,
-                               const LcCandidate *owner,
-                               LcRevision revision,
-                               int64_t now_us);
+  bool lc_flow_pointers_store_reported (LcFlowAgent *agent,
+                                        const LcFlowKey *key,
+                                        const LcCandidate *owner,
+                                        LcRevision revision,
+                                        int64_t now_us);
 
   /* Adds an entry to a queued message of this kind, or to a new one. */
   LcFlowEntry *
-  lc_flow_pointers_entry (LcFlowAgent *agent, LcFlowMessageKind kind, const LcCandidate *to);
+  lc_flow_pointers_add_entry (LcFlowAgent *agent, LcFlowMessageKind kind, const LcCandidate *to);
   LcFlowMessage *
-  lc_flow_pointers_message (LcFlowAgent *agent, LcFlowMessageKind kind, const LcCandidate *to);
+  lc_flow_pointers_add_message (LcFlowAgent *agent, LcFlowMessageKind kind, const LcCandidate *to);
 
 #ifdef __cplusplus
 }
--- a/src/core/flow/lc-flow-return.c
+++ b/src/core/flow/lc-flow-return.c
@@ -8,9 +8,9 @@
 
 enum
 {
-  LC_FLOW_COPY_MS = 200,        /* until a caller first retransmits a first packet */
-  LC_FLOW_SECOND_COPY_MS = 600, /* and until the second time */
-  LC_FLOW_RETURN_HOPS = 16,     /* charged for a returned first packet: four endpoints get it */
+  LC_FLOW_RETRANSMIT_MS = 200,        /* until a caller first retransmits a first packet */
+  LC_FLOW_SECOND_RETRANSMIT_MS = 600, /* and until the second time */
+  LC_FLOW_RETURN_HOPS = 16, /* charged for a returned first packet: four endpoints get it */
 };
 
 /* === private: actions ======================================================================= */
@@ -24,7 +24,7 @@
 /* Turns the drop (already counted) of a flow that no endpoint can take into a reset.  Only for a
  * first packet that was not retransmitted: an earlier copy may have opened the flow meanwhile. */
 static LcFlowAction
-lc_flow_return__fail (LcFlowAction drop, const LcPacket *packet)
+lc_flow_return__reset_or_drop (LcFlowAction drop, const LcPacket *packet)
 {
   if (packet->may_open && packet->n_copies == 0)
     drop.kind = LC_FLOW_ACTION_RESET;
@@ -39,9 +39,9 @@
 
 /* Minimum time since the caller sent the first copy of this first packet. */
 static uint32_t
-lc_flow_return__age_ms (const LcPacket *packet)
+lc_flow_return__min_age_ms (const LcPacket *packet)
 {
-  static const uint32_t AGES_MS[] = { 0, LC_FLOW_COPY_MS, LC_FLOW_SECOND_COPY_MS };
+  static const uint32_t AGES_MS[] = { 0, LC_FLOW_RETRANSMIT_MS, LC_FLOW_SECOND_RETRANSMIT_MS };
 
   return AGES_MS[MIN (packet->n_copies, (uint32_t)G_N_ELEMENTS (AGES_MS) - 1)];
 }
@@ -50,20 +50,20 @@
 static uint32_t
 lc_flow_return__waited_ms (LcFlowAgent *a, const LcPacket *packet, int64_t now_us)
 {
-  uint32_t age_ms = lc_flow_return__age_ms (packet);
+  uint32_t age_ms = lc_flow_return__min_age_ms (packet);
 
-  if (lc_flow_returners_take (&a->reconnects, packet->key.source_ipv4, now_us))
-    age_ms = MAX (age_ms, (uint32_t)LC_FLOW_COPY_MS);
+  if (lc_flow_reconnects_take (&a->reconnects, packet->key.source_ipv4, now_us))
+    age_ms = MAX (age_ms, (uint32_t)LC_FLOW_RETRANSMIT_MS);
   return age_ms;
 }
 
 /* Sets the mark: the remaining hops of a first packet, which come back if it is returned. */
 static LcFlowAction
-lc_flow_return__marked (LcFlowAgent *a,
-                        LcFlowAction action,
-                        const LcEnvelope *e,
-                        const LcPacket *packet,
-                        int64_t now_us)
+lc_flow_return__set_mark (LcFlowAgent *a,
+                          LcFlowAction action,
+                          const LcEnvelope *e,
+                          const LcPacket *packet,
+                          int64_t now_us)
 {
   if (action.kind != LC_FLOW_ACTION_DELIVER)
     return action;
@@ -86,27 +86,28 @@
   LcFlowAction action = lc_flow_agent__assign (a, e, f, packet, now_us);
 
   if (action.kind == LC_FLOW_ACTION_DROP)
-    return lc_flow_return__fail (action, packet);
-  return lc_flow_return__marked (a, action, e, packet, now_us);
+    return lc_flow_return__reset_or_drop (action, packet);
+  return lc_flow_return__set_mark (a, action, e, packet, now_us);
 }
 
 /* Accepts the flow, or sends the packet back to the assigner with the reason. */
 static LcFlowAction
-lc_flow_return__open (
+lc_flow_return__accept_or_refuse (
     LcFlowAgent *a, LcEnvelope *e, LcFlow *f, const LcPacket *packet, int64_t now_us)
 {
   if (!lc_flow_agent__is_accepting (a))
     return lc_flow_agent__refuse (
         a, e, lc_flow_agent__is_evacuated (a) ? LC_DROP_EVACUATED : LC_DROP_LEAVING);
-  if (!lc_flow_agent__is_home (a, &packet->key))
+  if (!lc_flow_agent__is_in_home_region (a, &packet->key))
     return lc_flow_agent__refuse (a, e, LC_DROP_NO_HOME);
-  if (!lc_flow_agent__may_take (a, now_us))
+  if (!lc_flow_agent__may_accept (a, now_us))
     return lc_flow_agent__refuse (a, e, LC_DROP_LIMIT);
   if (lc_flow_agent__looks_bad (a, now_us) &&
-      lc_assign_may_leave_out_self (&a->assign, lc_flow_agent__home_regions (a, &packet->key),
-                                    now_us))
+      lc_assign_may_exclude_self (&a->assign, lc_flow_agent__home_regions (a, &packet->key),
+                                  now_us))
     return lc_flow_agent__refuse (a, e, LC_DROP_LIMIT);
-  return lc_flow_return__marked (a, lc_flow_agent__take (a, f, packet, now_us), e, packet, now_us);
+  return lc_flow_return__set_mark (a, lc_flow_agent__accept (a, f, packet, now_us), e, packet,
+                                   now_us);
 }
 
 /* === private: requests in work ============================================================== */
@@ -120,7 +121,7 @@
 /* Whether the packet has new data of the caller.  A retransmission of a request that was answered
  * meanwhile must not count as in work: it would never be answered. */
 static bool
-lc_flow_return__is_news (LcFlow *f, const LcPacket *packet)
+lc_flow_return__has_new_data (LcFlow *f, const LcPacket *packet)
 {
   uint32_t end = packet->sequence + packet->total_len - packet->payload_start;
 
@@ -132,7 +133,7 @@
 
 /* When the caller began to wait; for the first request of a flow, before it opened the flow. */
 static int64_t
-lc_flow_return__began_us (LcFlow *f, int64_t now_us)
+lc_flow_return__wait_start_us (LcFlow *f, int64_t now_us)
 {
   uint32_t age_ms = f->began_ms != 0 ? lc_flow_return__ms (now_us) - f->began_ms : 0;
 
@@ -151,16 +152,16 @@
       lc_flow_agent__end_request (a, f);
       return false;
     }
-  if ((f->flags & LC_FLOW_WAITING) != 0)
+  if ((f->flags & LC_FLOW_HELD) != 0)
     return lc_flow_return__has_data (packet);
-  if (!lc_flow_return__is_news (f, packet) || (f->flags & LC_FLOW_AT_WORK) != 0)
+  if (!lc_flow_return__has_new_data (f, packet) || (f->flags & LC_FLOW_AT_WORK) != 0)
     return false;
   f->work_ms = lc_flow_return__ms (now_us);
   f->flags |= LC_FLOW_AT_WORK;
-  if (lc_flow_gate_request (&a->gate, flow, lc_flow_return__began_us (f, now_us), now_us) ==
+  if (lc_flow_gate_submit (&a->gate, flow, lc_flow_return__wait_start_us (f, now_us), now_us) ==
       LC_FLOW_GATE_PASS)
     return false;
-  f->flags |= LC_FLOW_WAITING;
+  f->flags |= LC_FLOW_HELD;
   return true;
 }
 
@@ -168,7 +169,7 @@
 
 /* Registers the flow again if a packet came by a detour: its first home has lost the owner. */
 static void
-lc_flow_return__remind_homes (LcFlowAgent *a, LcFlow *f, const LcEnvelope *e)
+lc_flow_return__refresh_homes (LcFlowAgent *a, LcFlow *f, const LcEnvelope *e)
 {
   bool is_detour = e->mode == LC_MODE_SEARCH || e->mode == LC_MODE_FIND ||
                    (e->mode == LC_MODE_WALK && e->hop > 0);
@@ -179,7 +180,7 @@
       is_detour = true;
     }
   if (is_detour && (f->flags & LC_FLOW_QUEUED) == 0)
-    lc_flow_pointers_start (a, f);
+    lc_flow_pointers_begin_registration (a, f);
 }
 
 /* Whether this first packet is a retransmission that the backend server left unanswered: it is dead
@@ -193,7 +194,7 @@
 
 /* Whether a first packet opens an ended flow anew. */
 static bool
-lc_flow_return__opens_again (const LcFlow *f, const LcPacket *packet)
+lc_flow_return__is_reopening (const LcFlow *f, const LcPacket *packet)
 {
   return packet->may_open && (f->flags & LC_FLOW_ENDED) != 0;
 }
@@ -206,8 +207,9 @@
 {
   if (f == NULL || f->kind != LC_FLOW_OWNED)
     return false;
-  return !lc_flow_return__opens_again (f, packet) ||
-         (lc_flow_agent__may_take (a, now_us) && lc_flow_agent__is_home (a, &packet->key));
+  return !lc_flow_return__is_reopening (f, packet) ||
+         (lc_flow_agent__may_accept (a, now_us) &&
+          lc_flow_agent__is_in_home_region (a, &packet->key));
 }
 
 static void
@@ -215,13 +217,13 @@
 {
   if (f == NULL || f->kind != LC_FLOW_OWNED)
     return;
-  lc_flow_pointers_end (a, f);
+  lc_flow_pointers_unregister (a, f);
   lc_flow_table_remove (&a->table, f);
 }
 
 /* Assigns a first packet to another endpoint than this one. */
 static LcFlowAction
-lc_flow_return__give_on (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
+lc_flow_return__reassign (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
 {
   e->mode = LC_MODE_REFUSED;
   e->stray_id = a->desc.self.id;
@@ -235,13 +237,13 @@
 lc_flow_return__walk (
     LcFlowAgent *a, LcEnvelope *e, LcFlow *f, const LcPacket *packet, int64_t now_us)
 {
-  LcSteerKnown known = lc_flow_agent__known (a, f);
+  LcSteerEntry known = lc_flow_agent__describe_entry (a, f);
 
   /* A retransmission before the owner has registered the flow: the owner may never have got it. */
   if (packet->may_open && packet->n_copies > 0 && known.kind == LC_FLOW_POINTER &&
       !known.is_confirmed)
     {
-      lc_assign_refused (&a->assign, known.other.id, now_us);
+      lc_assign_record_refusal (&a->assign, known.other.id, now_us);
       return lc_flow_return__assign (a, e, f, packet, now_us);
     }
   if (known.kind == LC_FLOW_POINTER && known.is_live &&
@@ -251,7 +253,7 @@
   if (packet->may_open)
     return lc_flow_return__assign (a, e, f, packet, now_us);
   if (e->hop + 1 >= e->n)
-    return lc_flow_finder_walk_ended (a, e, packet, now_us);
+    return lc_flow_finder_end_walk (a, e, packet, now_us);
   e->hop++;
   return lc_flow_agent__send (a, e, LC_MODE_WALK, &e->candidates[e->hop]);
 }
@@ -262,14 +264,14 @@
 lc_flow_return__find (
     LcFlowAgent *a, LcEnvelope *e, LcFlow *f, const LcPacket *packet, int64_t now_us)
 {
-  LcSteerKnown known = lc_flow_agent__known (a, f);
+  LcSteerEntry known = lc_flow_agent__describe_entry (a, f);
 
   if (packet->may_open)
     return lc_flow_agent__drop (a, LC_DROP_NO_OWNER);
   if (known.kind == LC_FLOW_POINTER && known.is_live &&
       !lc_candidate_equal (&known.other, &a->desc.self))
     {
-      lc_flow_finder_tell (a, e->stray_id, &packet->key);
+      lc_flow_finder_send_owner (a, e->stray_id, &packet->key);
       return lc_flow_agent__send (a, e, LC_MODE_OWNER, &known.other);
     }
   return lc_flow_finder_search (a, e, packet, now_us);
@@ -278,7 +280,7 @@
 /* === public ================================================================================= */
 
 LcFlowAction
-lc_flow_return_packet (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
+lc_flow_return_steer (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
 {
   LcFlow *f = lc_flow_table_find (&a->table, &packet->key, lc_flow_key_hash (&packet->key));
 
@@ -288,19 +290,19 @@
   if (lc_flow_return__is_unanswered (f, packet))
     {
       lc_flow_return__disown (a, f);
-      lc_flow_agent__note_failure (a, now_us);
-      return lc_flow_return__give_on (a, e, packet, now_us);
+      lc_flow_agent__record_failure (a, now_us);
+      return lc_flow_return__reassign (a, e, packet, now_us);
     }
   if (lc_flow_return__is_owned (a, f, packet, now_us))
     {
-      if (lc_flow_return__opens_again (f, packet))
-        lc_cold_limit_note (&a->first_packets, now_us);
-      lc_flow_return__remind_homes (a, f, e);
+      if (lc_flow_return__is_reopening (f, packet))
+        lc_warmup_limit_record (&a->first_packets, now_us);
+      lc_flow_return__refresh_homes (a, f, e);
       if (lc_flow_return__must_wait (a, f, packet, now_us))
         return (LcFlowAction){ .kind = LC_FLOW_ACTION_HOLD,
                                .hold_flow = lc_flow_table_index (&a->table, f) };
-      return lc_flow_return__marked (a, lc_flow_agent__deliver (a, f, packet, false, now_us), e,
-                                     packet, now_us);
+      return lc_flow_return__set_mark (a, lc_flow_agent__deliver (a, f, packet, false, now_us), e,
+                                       packet, now_us);
     }
   switch ((LcEnvelopeMode)e->mode)
     {
@@ -309,7 +311,7 @@
     case LC_MODE_OPEN:
     case LC_MODE_OWNER:
       if (packet->may_open)
-        return lc_flow_return__open (a, e, f, packet, now_us);
+        return lc_flow_return__accept_or_refuse (a, e, f, packet, now_us);
       return lc_flow_return__try (LC_FLOW_MARK_NONE);
     case LC_MODE_ASSIGN:
     case LC_MODE_REFUSED:
@@ -321,14 +323,14 @@
     case LC_MODE_SEARCH:
       if (packet->may_open)
         return lc_flow_agent__drop (a, LC_DROP_NO_OWNER);
-      lc_flow_returners_lost (&a->reconnects, packet->key.source_ipv4, now_us);
+      lc_flow_reconnects_add (&a->reconnects, packet->key.source_ipv4, now_us);
       return lc_flow_return__try (e->candidates[0].id);
     }
   return lc_flow_agent__drop (a, LC_DROP_MALFORMED);
 }
 
 void
-lc_flow_return_search (const LcFlowAgent *a, const LcCandidate *to, LcEnvelope *e)
+lc_flow_return_fill_search_envelope (const LcFlowAgent *a, const LcCandidate *to, LcEnvelope *e)
 {
   memset (e, 0, sizeof *e);
   e->mode = LC_MODE_SEARCH;
@@ -346,34 +348,37 @@
  * absent after a restart of all, first packets were forwarded until they had no hops left, 261
  * log lines in 0.75 s.  An unconfirmed backend server gets no new flow before it reports. */
 static void
-lc_flow_return__note_refused (LcFlowAgent *a, int64_t now_us)
+lc_flow_return__record_refusal (LcFlowAgent *a, int64_t now_us)
 {
-  a->has_returned_first = a->backend == LC_FLOW_BACKEND_ASKED;
-  if (lc_flow_gate_n_working (&a->gate) == 0)
-    lc_flow_agent__note_failure (a, now_us);
+  a->has_returned_first = a->backend == LC_FLOW_BACKEND_UNCONFIRMED;
+  if (lc_flow_gate_n_in_flight (&a->gate) == 0)
+    lc_flow_agent__record_failure (a, now_us);
 }
 
 LcFlowAction
-lc_flow_return_returned (LcFlowAgent *a, LcEnvelope *e, const LcPacket *packet, int64_t now_us)
+lc_flow_return_handle_returned (LcFlowAgent *a,
+                                LcEnvelope *e,
+                                const LcPacket *packet,
+                                int64_t now_us)
 {
   a->counts.returned_total++;
   lc_flow_return__disown (
       a, lc_flow_table_find (&a->table, &packet->key, lc_flow_key_hash (&packet->key)));
   if (!packet->may_open)
-    return packet->mark != LC_FLOW_MARK_NONE ? lc_flow_finder_tried (a, packet, now_us)
+    return packet->mark != LC_FLOW_MARK_NONE ? lc_flow_finder_report_denial (a, packet, now_us)
                                              : lc_flow_finder_search_returned (a, packet, now_us);
-  lc_flow_return__note_refused (a, now_us);
+  lc_flow_return__record_refusal (a, now_us);
   if (packet->mark <= LC_FLOW_RETURN_HOPS || packet->mark > LC_ENVELOPE_HOPS)
-    return lc_flow_return__fail (lc_flow_agent__drop (a, LC_DROP_LIMIT), packet);
-  lc_flow_return_search (a, &a->desc.self, e);
+    return lc_flow_return__reset_or_drop (lc_flow_agent__drop (a, LC_DROP_LIMIT), packet);
+  lc_flow_return_fill_search_envelope (a, &a->desc.self, e);
   e->hops_left = (uint8_t)(packet->mark - LC_FLOW_RETURN_HOPS);
   e->dc = a->dc;
   a->arrival_dc = a->dc;
-  return lc_flow_return__give_on (a, e, packet, now_us);
+  return lc_flow_return__reassign (a, e, packet, now_us);
 }
 
 LcFlowKey
-lc_flow_return_key (const LcPacket *packet)
+lc_flow_return_caller_key (const LcPacket *packet)
 {
   LcFlowKey key = packet->key;
 
@@ -385,56 +390,59 @@
 }
 
 /* Classifies a response; call it before LC_FLOW_ANSWERED is set. */
-static LcFlowAnswer
-lc_flow_return__answer (const LcFlow *f, const LcPacket *packet, int64_t now_us)
+static LcFlowResponse
+lc_flow_return__classify_response (const LcFlow *f, const LcPacket *packet, int64_t now_us)
 {
-  LcFlowAnswer answer = { .kind = LC_FLOW_ANSWER_NONE };
+  LcFlowResponse answer = { .kind = LC_FLOW_RESPONSE_NONE };
 
   if (f == NULL || f->kind != LC_FLOW_OWNED || packet->is_reset)
     return answer;
   if (packet->is_accept && (f->flags & LC_FLOW_ANSWERED) == 0 && f->work_ms != 0)
-    answer.kind = LC_FLOW_ANSWER_OPENED;
+    answer.kind = LC_FLOW_RESPONSE_ACCEPT;
   else if ((f->flags & LC_FLOW_AT_WORK) != 0 && lc_flow_return__has_data (packet))
-    answer.kind = LC_FLOW_ANSWER_BEGUN;
+    answer.kind = LC_FLOW_RESPONSE_DATA;
   answer.elapsed_us = (int64_t)(lc_flow_return__ms (now_us) - f->work_ms) * LC_US_PER_MS;
   return answer;
 }
 
 /* Records the outcome of a request for the outlier detection. */
 static void
-lc_flow_return__judge (LcFlowAgent *a, const LcFlow *f, const LcPacket *packet, int64_t now_us)
+lc_flow_return__record_outcome (LcFlowAgent *a,
+                                const LcFlow *f,
+                                const LcPacket *packet,
+                                int64_t now_us)
 {
-  if ((f->flags & (LC_FLOW_AT_WORK | LC_FLOW_WAITING)) != LC_FLOW_AT_WORK)
+  if ((f->flags & (LC_FLOW_AT_WORK | LC_FLOW_HELD)) != LC_FLOW_AT_WORK)
     return;
   if (packet->is_reset)
-    lc_flow_agent__note_failure (a, now_us);
+    lc_flow_agent__record_failure (a, now_us);
   else if (lc_flow_return__has_data (packet))
-    lc_flow_agent__note_success (a);
+    lc_flow_agent__record_success (a);
 }
 
-LcFlowAnswer
-lc_flow_return_answered (LcFlowAgent *a, const LcPacket *packet, int64_t now_us)
+LcFlowResponse
+lc_flow_return_handle_response (LcFlowAgent *a, const LcPacket *packet, int64_t now_us)
 {
   LcPacket of_caller = *packet;
-  LcFlowAnswer answer;
+  LcFlowResponse answer;
   LcFlow *f;
 
-  of_caller.key = lc_flow_return_key (packet);
+  of_caller.key = lc_flow_return_caller_key (packet);
   of_caller.may_open = false;
   f = lc_flow_table_find (&a->table, &of_caller.key, lc_flow_key_hash (&of_caller.key));
-  answer = lc_flow_return__answer (f, packet, now_us);
+  answer = lc_flow_return__classify_response (f, packet, now_us);
   a->arrival_dc = 0;
   if (f != NULL && f->kind == LC_FLOW_OWNED)
     (void)lc_flow_agent__deliver (a, f, &of_caller, false, now_us);
   else if (!packet->is_reset) /* a reset is for a flow that it no longer holds */
-    (void)lc_flow_agent__take (a, f, &of_caller, now_us);
+    (void)lc_flow_agent__accept (a, f, &of_caller, now_us);
   f = lc_flow_table_find (&a->table, &of_caller.key, lc_flow_key_hash (&of_caller.key));
   if (f == NULL || f->kind != LC_FLOW_OWNED)
     return answer;
   f->flags |= LC_FLOW_ANSWERED;
   if (!packet->is_accept && (int32_t)(packet->acknowledged - f->data_end) > 0)
     f->data_end = packet->acknowledged;
-  lc_flow_return__judge (a, f, packet, now_us);
+  lc_flow_return__record_outcome (a, f, packet, now_us);
   if (lc_flow_return__has_data (packet) || packet->is_last)
     lc_flow_agent__end_request (a, f);
   return answer;
@@ -451,11 +459,11 @@
       g_array_remove_index (a->held, 0);
       return true;
     }
-  held->is_released = lc_flow_gate_next (&a->gate, now_us, &flow);
-  if (!held->is_released && !lc_flow_gate_give_up (&a->gate, now_us, &flow))
+  held->is_released = lc_flow_gate_pass_next (&a->gate, now_us, &flow);
+  if (!held->is_released && !lc_flow_gate_drop_expired (&a->gate, now_us, &flow))
     return false;
   held->flow = flow;
-  a->table.flows[flow].flags &= (uint8_t)~LC_FLOW_WAITING;
+  a->table.flows[flow].flags &= (uint8_t)~LC_FLOW_HELD;
   if (held->is_released)
     a->table.flows[flow].work_ms = lc_flow_return__ms (now_us);
   else
--- a/src/core/flow/lc-flow-return.h
+++ b/src/core/flow/lc-flow-return.h
@@ -17,9 +17,9 @@
  *   of them, and the other one returns the caller's packets.
  *
  * HOW TO USE IT
- *   Through lc_flow_agent_packet when desc.returns_packets is set, and
- *     action = lc_flow_return_returned (&agent, &envelope, &packet, now_us);
- *     answer = lc_flow_return_answered (&agent, &packet, now_us);
+ *   Through lc_flow_agent_handle_packet when desc.returns_packets is set, and
+ *     action = lc_flow_return_handle_returned (&agent, &envelope, &packet, now_us);
+ *     answer = lc_flow_return_handle_response (&agent, &packet, now_us);
  *     while (lc_flow_return_next_held (&agent, &held, now_us))
  *       give the packets held for held.flow to the backend server, or drop them
  *     while (lc_flow_return_next_reset (&agent, &packet))
@@ -42,29 +42,31 @@
     LC_FLOW_MARK_NONE = 0,
   };
 
-  /* As lc_flow_agent_packet. */
-  LcFlowAction lc_flow_return_packet (LcFlowAgent *agent,
-                                      LcEnvelope *envelope,
-                                      const LcPacket *packet,
-                                      int64_t now_us);
+  /* As lc_flow_agent_handle_packet. */
+  LcFlowAction lc_flow_return_steer (LcFlowAgent *agent,
+                                     LcEnvelope *envelope,
+                                     const LcPacket *packet,
+                                     int64_t now_us);
   /* Handles a packet returned by the backend server; fills `envelope` if the action forwards it. */
-  LcFlowAction lc_flow_return_returned (LcFlowAgent *agent,
-                                        LcEnvelope *envelope,
-                                        const LcPacket *packet,
-                                        int64_t now_us);
+  LcFlowAction lc_flow_return_handle_returned (LcFlowAgent *agent,
+                                               LcEnvelope *envelope,
+                                               const LcPacket *packet,
+                                               int64_t now_us);
   /* Handles a packet from the backend server to a caller (its key has the service as the source):
    * the agent owns the flow from now on.  Returns what the packet responds to. */
-  LcFlowAnswer lc_flow_return_answered (LcFlowAgent *agent, const LcPacket *packet, int64_t now_us);
+  LcFlowResponse
+  lc_flow_return_handle_response (LcFlowAgent *agent, const LcPacket *packet, int64_t now_us);
   /* The flow's key, caller to service, from a packet of the backend server. */
-  LcFlowKey lc_flow_return_key (const LcPacket *packet);
+  LcFlowKey lc_flow_return_caller_key (const LcPacket *packet);
   /* Next decision on packets that LC_FLOW_ACTION_HOLD queued; call it after each packet and tick
    * until it returns false. */
   bool lc_flow_return_next_held (LcFlowAgent *agent, LcFlowHeld *held, int64_t now_us);
   /* Next packet of a flow that no backend server holds; false: none is left. */
   bool lc_flow_return_next_reset (LcFlowAgent *agent, LcPacket *packet);
   /* Fills the envelope for a packet of a search by this agent. */
-  void
-  lc_flow_return_search (const LcFlowAgent *agent, const LcCandidate *to, LcEnvelope *envelope);
+  void lc_flow_return_fill_search_envelope (const LcFlowAgent *agent,
+                                            const LcCandidate *to,
+                                            LcEnvelope *envelope);
 
 #ifdef __cplusplus
 }
--- a/src/core/flow/lc-flow-search.h
+++ b/src/core/flow/lc-flow-search.h
@@ -16,13 +16,13 @@
  *     lc_flow_searches_init (&searches, now_us);
  *     lc_flow_searches_set_members (&searches, members, n, membership);    after each change
  *     search = lc_flow_search_begin (&searches, &packet, now_us);
- *     n = lc_flow_search_try (&searches, search, turn, may_try, user, ids);
+ *     n = lc_flow_search_choose_targets (&searches, search, turn, may_try, user, ids);
  *       send the packet to these n endpoints
- *     lc_flow_search_clear (&searches, &key, &member, its_membership, now_us);   returned there
- *     while ((round = lc_flow_search_round (&searches, now_us)) != NULL)
- *       send round->keys to each member i with lc_flow_search_is_asked (round, i)
- *     lc_flow_search_answer (&searches, round_id, &member, its_membership, now_us);
- *     while (lc_flow_search_next_lost (&searches, &packet))
+ *     lc_flow_search_rule_out (&searches, &key, &member, its_membership, now_us);   returned there
+ *     while ((round = lc_flow_search_next_round (&searches, now_us)) != NULL)
+ *       send round->keys to each member i with lc_flow_search_is_unanswered (round, i)
+ *     lc_flow_search_record_answer (&searches, round_id, &member, its_membership, now_us);
+ *     while (lc_flow_search_next_unowned (&searches, &packet))
  *       no backend server holds the flow of `packet`
  *     lc_flow_searches_finish (&searches);
  *
@@ -30,9 +30,9 @@
  *   The searches own copies of all they are given.
  *
  * LIMITS
- *   LC_FLOW_SEARCHES at a time; a newer one replaces the oldest of the LC_FLOW_SEARCH_WAYS
+ *   LC_FLOW_SEARCHES_MAX at a time; a newer one replaces the oldest of the LC_FLOW_SEARCH_WAYS
  *   slots of its hash, whose caller has to send another packet.  In a service of more than
- *   LC_FLOW_SEARCH_MEMBERS endpoints owners are found, but no flow is ever reported as unowned.
+ *   LC_FLOW_SEARCH_MEMBERS_MAX endpoints owners are found, but no flow is ever reported as unowned.
  *   An answer from a member with a newer roster (`membership`: the revision of its newest endpoint)
  *   holds the search open until that endpoint is in the list here, too.  Restarts and losses of
  *   known endpoints do not hold it open.
@@ -51,18 +51,19 @@
 
   enum
   {
-    LC_FLOW_SEARCHES = 512,  /* concurrent searches; each stores one packet */
-    LC_FLOW_SEARCH_MAX = 64, /* endpoints to which a packet is sent at a time */
-    LC_FLOW_SEARCH_MEMBERS = 2048,
-    LC_FLOW_ROUNDS = 64, /* concurrent: one silent member keeps each open for LC_FLOW_SEARCH_US, and
+    LC_FLOW_SEARCHES_MAX = 512,      /* concurrent searches; each stores one packet */
+    LC_FLOW_SEARCH_TARGETS_MAX = 64, /* endpoints to which a packet is sent at a time */
+    LC_FLOW_SEARCH_MEMBERS_MAX = 2048,
+    LC_FLOW_ROUNDS_MAX =
+        64, /* concurrent: one silent member keeps each open for LC_FLOW_SEARCH_TIMEOUT_US, and
                             20 a second begin */
     LC_FLOW_ROUND_KEYS = 32, /* flows of a round: one message (LC_FLOW_BATCH_MAX) */
   };
 
-#define LC_FLOW_SEARCH_US (2 * LC_US_PER_S) /* after which a search starts over */
+#define LC_FLOW_SEARCH_TIMEOUT_US (2 * LC_US_PER_S) /* after which a search starts over */
 /* Between rounds, and so the longest wait of a search for its first query; 20 rounds a second to
  * 163 endpoints are 3,260 messages. */
-#define LC_FLOW_ROUND_US (50 * LC_US_PER_MS)
+#define LC_FLOW_ROUND_INTERVAL_US (50 * LC_US_PER_MS)
 /* After which a round is resent to the members that have not answered, as datagrams may be lost:
  * five round trips between data centres. */
 #define LC_FLOW_ROUND_RETRY_US (100 * LC_US_PER_MS)
@@ -78,7 +79,7 @@
   /* A bit set of members, by their indexes in the list. */
   typedef struct
   {
-    uint64_t words[LC_FLOW_SEARCH_MEMBERS / 64];
+    uint64_t words[LC_FLOW_SEARCH_MEMBERS_MAX / 64];
   } LcFlowMemberSet;
 
   typedef struct
@@ -98,10 +99,10 @@
   /* Which members get the packet. */
   typedef enum
   {
-    LC_FLOW_SEARCH_NEXT,     /* members not accounted for that have not had it */
-    LC_FLOW_SEARCH_NEXT_NEW, /* the same for a new packet; if all have had it, all again */
-    LC_FLOW_SEARCH_ALL,      /* a new packet: all */
-  } LcFlowSearchTurn;
+    LC_FLOW_SEARCH_UNTRIED,        /* members not accounted for that have not had it */
+    LC_FLOW_SEARCH_UNTRIED_OR_ALL, /* the same for a new packet; if all have had it, all again */
+    LC_FLOW_SEARCH_ALL,            /* a new packet: all */
+  } LcFlowSearchTargets;
 
   typedef struct
   {
@@ -150,50 +151,50 @@
   bool lc_flow_search_is_running (LcFlowSearches *searches, const LcFlowKey *key, int64_t now_us);
   /* Chooses the members that get the packet, among those that are unsure or for which `may_try`
    * returns true.  Returns how many. */
-  uint32_t lc_flow_search_try (const LcFlowSearches *searches,
-                               LcFlowSearch *search,
-                               LcFlowSearchTurn turn,
-                               bool (*may_try) (void *user, LcEndpointId id),
-                               void *user,
-                               LcEndpointId out[LC_FLOW_SEARCH_MAX]);
-  /* The search in this slot (0 to LC_FLOW_SEARCHES - 1) if it is under way, or NULL. */
+  uint32_t lc_flow_search_choose_targets (const LcFlowSearches *searches,
+                                          LcFlowSearch *search,
+                                          LcFlowSearchTargets turn,
+                                          bool (*may_try) (void *user, LcEndpointId id),
+                                          void *user,
+                                          LcEndpointId out[LC_FLOW_SEARCH_TARGETS_MAX]);
+  /* The search in this slot (0 to LC_FLOW_SEARCHES_MAX - 1) if it is under way, or NULL. */
   LcFlowSearch *lc_flow_search_at (LcFlowSearches *searches, uint32_t slot, int64_t now_us);
-  uint32_t lc_flow_search_place (const LcFlowSearches *searches, const LcFlowSearch *search);
+  uint32_t lc_flow_search_slot_of (const LcFlowSearches *searches, const LcFlowSearch *search);
   /* Records that the member does not hold the flow; `membership`: its newest roster revision. */
-  void lc_flow_search_clear (LcFlowSearches *searches,
-                             const LcFlowKey *key,
-                             const LcFlowSearchMember *member,
-                             LcRevision membership,
-                             int64_t now_us);
+  void lc_flow_search_rule_out (LcFlowSearches *searches,
+                                const LcFlowKey *key,
+                                const LcFlowSearchMember *member,
+                                LcRevision membership,
+                                int64_t now_us);
   /* Records that the member's agent can't tell whether its backend server holds the flow. */
-  void lc_flow_search_doubt (LcFlowSearches *searches,
-                             const LcFlowKey *key,
-                             const LcFlowSearchMember *member);
+  void lc_flow_search_mark_unsure (LcFlowSearches *searches,
+                                   const LcFlowKey *key,
+                                   const LcFlowSearchMember *member);
   /* Ends the search and returns its `slot`, as the owner is known; false: no search. */
-  bool lc_flow_search_found (LcFlowSearches *searches, const LcFlowKey *key, uint32_t *slot);
+  bool lc_flow_search_end_found (LcFlowSearches *searches, const LcFlowKey *key, uint32_t *slot);
 
   /* The next round to send or resend, marked as sent now; NULL: none. */
-  const LcFlowRound *lc_flow_search_round (LcFlowSearches *searches, int64_t now_us);
+  const LcFlowRound *lc_flow_search_next_round (LcFlowSearches *searches, int64_t now_us);
   /* Whether the member has not answered the round. */
-  bool lc_flow_search_is_asked (const LcFlowRound *round, uint32_t member);
+  bool lc_flow_search_is_unanswered (const LcFlowRound *round, uint32_t member);
   /* The next round that this member has not answered, from `*at` (0 at first) on, or NULL. */
-  const LcFlowRound *lc_flow_search_unanswered (const LcFlowSearches *searches,
-                                                const LcFlowSearchMember *member,
-                                                uint32_t *at);
+  const LcFlowRound *lc_flow_search_next_unanswered (const LcFlowSearches *searches,
+                                                     const LcFlowSearchMember *member,
+                                                     uint32_t *at);
   /* Records an answer of a member with complete knowledge: it holds none of the round's flows but
-   * those passed to lc_flow_search_found or lc_flow_search_doubt before. */
-  void lc_flow_search_answer (LcFlowSearches *searches,
-                              uint32_t round,
-                              const LcFlowSearchMember *member,
-                              LcRevision membership,
-                              int64_t now_us);
+   * those passed to lc_flow_search_end_found or lc_flow_search_mark_unsure before. */
+  void lc_flow_search_record_answer (LcFlowSearches *searches,
+                                     uint32_t round,
+                                     const LcFlowSearchMember *member,
+                                     LcRevision membership,
+                                     int64_t now_us);
   /* Records an answer of a member with incomplete knowledge: the round is not resent to it. */
-  void lc_flow_search_cannot_say (LcFlowSearches *searches,
-                                  uint32_t round,
-                                  const LcFlowSearchMember *member);
+  void lc_flow_search_record_incomplete (LcFlowSearches *searches,
+                                         uint32_t round,
+                                         const LcFlowSearchMember *member);
 
   /* Next flow that no backend server holds, by its newest packet; false: none. */
-  bool lc_flow_search_next_lost (LcFlowSearches *searches, LcPacket *packet);
+  bool lc_flow_search_next_unowned (LcFlowSearches *searches, LcPacket *packet);
 
 #ifdef __cplusplus
 }
--- a/src/core/flow/lc-flow-table.c
+++ b/src/core/flow/lc-flow-table.c
@@ -5,8 +5,8 @@
 
 enum
 {
-  LC_FLOW_TABLE_MAX = 4000000,
-  LC_FLOW_TABLE_FIRST = 64, /* entries of a new table; a power of two */
+  LC_FLOW_TABLE_MAX_FLOWS = 4000000,
+  LC_FLOW_TABLE_INITIAL = 64, /* entries of a new table; a power of two */
 };
 
 /* === private: the index ===================================================================== */
@@ -116,14 +116,14 @@
 lc_flow_table_init (LcFlowTable *t, uint32_t max_flows, int64_t now_us)
 {
   memset (t, 0, sizeof *t);
-  t->max_flows = max_flows != 0 ? max_flows : LC_FLOW_TABLE_MAX;
+  t->max_flows = max_flows != 0 ? max_flows : LC_FLOW_TABLE_MAX_FLOWS;
   t->now_tick = lc_flow_tick (now_us);
   t->free_head = LC_FLOW_NONE;
   t->queue_head = LC_FLOW_NONE;
   t->queue_tail = LC_FLOW_NONE;
   for (uint32_t i = 0; i < LC_FLOW_WHEEL_SLOTS; i++)
     t->wheel[i] = LC_FLOW_NONE;
-  t->capacity = LC_FLOW_TABLE_FIRST / 2;
+  t->capacity = LC_FLOW_TABLE_INITIAL / 2;
   t->flows = g_new0 (LcFlow, t->capacity);
   for (uint32_t i = t->capacity; i > 0; i--)
     {
@@ -235,7 +235,7 @@
 }
 
 LcFlow *
-lc_flow_table_due (LcFlowTable *t, int64_t now_us)
+lc_flow_table_next_expired (LcFlowTable *t, int64_t now_us)
 {
   uint32_t now_tick = lc_flow_tick (now_us);
 
@@ -308,7 +308,7 @@
 /* === public: self-check ===================================================================== */
 
 static const char *
-lc_flow_table__queue_fault (const LcFlowTable *t)
+lc_flow_table__check_queue (const LcFlowTable *t)
 {
   uint32_t previous = LC_FLOW_NONE;
   uint32_t n = 0;
@@ -332,7 +332,7 @@
 }
 
 const char *
-lc_flow_table_fault (const LcFlowTable *t)
+lc_flow_table_check (const LcFlowTable *t)
 {
   uint32_t n_flows = 0;
   uint32_t n_owned = 0;
@@ -352,5 +352,5 @@
     }
   if (n_flows != t->n_flows || n_owned != t->n_owned || n_queued != t->n_queued)
     return "a count differs from the entries";
-  return lc_flow_table__queue_fault (t);
+  return lc_flow_table__check_queue (t);
 }
--- a/src/core/flow/lc-flow-table.h
+++ b/src/core/flow/lc-flow-table.h
@@ -12,7 +12,7 @@
  *     LcFlow *flow = lc_flow_table_find (&table, &key, hash);
  *     flow = lc_flow_table_add (&table, &key, hash);        NULL: at max_flows
  *     lc_flow_table_set_deadline (&table, flow, when_us);
- *     while ((flow = lc_flow_table_due (&table, now_us)) != NULL)
+ *     while ((flow = lc_flow_table_next_expired (&table, now_us)) != NULL)
  *       lc_flow_table_remove (&table, flow);                or set a later deadline
  *     lc_flow_table_finish (&table);
  *
@@ -52,14 +52,14 @@
 
   enum
   {
-    LC_FLOW_CONFIRMED = 1, /* POINTER: registered by the owner itself */
-    LC_FLOW_ADOPTED = 2,   /* OWNED: held by another agent's backend server */
-    LC_FLOW_QUEUED = 4,    /* OWNED: in the queue of registrations */
-    LC_FLOW_BEHIND = 8,    /* OWNED: not yet registered with the newest homes */
-    LC_FLOW_ENDED = 16,    /* OWNED: the last packet passed */
-    LC_FLOW_AT_WORK = 32,  /* OWNED: has a request whose answer has not begun */
-    LC_FLOW_ANSWERED = 64, /* OWNED: the backend server has sent something */
-    LC_FLOW_WAITING = 128, /* OWNED: AT_WORK, and its packets are held (lc-flow-gate) */
+    LC_FLOW_CONFIRMED = 1,    /* POINTER: registered by the owner itself */
+    LC_FLOW_ADOPTED = 2,      /* OWNED: held by another agent's backend server */
+    LC_FLOW_QUEUED = 4,       /* OWNED: in the queue of registrations */
+    LC_FLOW_UNREGISTERED = 8, /* OWNED: not yet registered with the newest homes */
+    LC_FLOW_ENDED = 16,       /* OWNED: the last packet passed */
+    LC_FLOW_AT_WORK = 32,     /* OWNED: has a request whose answer has not begun */
+    LC_FLOW_ANSWERED = 64,    /* OWNED: the backend server has sent something */
+    LC_FLOW_HELD = 128,       /* OWNED: AT_WORK, and its packets are held (lc-flow-gate) */
   };
 
   typedef struct
@@ -127,7 +127,7 @@
   void lc_flow_table_set_deadline (LcFlowTable *table, LcFlow *flow, int64_t when_us);
   /* Returns the next entry whose deadline has passed, or NULL.  Remove it or set a new deadline
    * before the next call. */
-  LcFlow *lc_flow_table_due (LcFlowTable *table, int64_t now_us);
+  LcFlow *lc_flow_table_next_expired (LcFlowTable *table, int64_t now_us);
 
   /* The queue of registrations: first in, first out. */
   void lc_flow_table_enqueue (LcFlowTable *table, LcFlow *flow);
@@ -137,7 +137,7 @@
 
   /* Consistency check for tests, over every entry: what is wrong with the queue of registrations,
    * the index or the counts, or NULL. */
-  const char *lc_flow_table_fault (const LcFlowTable *table);
+  const char *lc_flow_table_check (const LcFlowTable *table);
 
 #ifdef __cplusplus
 }
--- a/src/core/flow/lc-steer.c
+++ b/src/core/flow/lc-steer.c
@@ -1,22 +1,25 @@
 #include "lc-steer.h"
 
-static LcSteer
+static LcSteerDecision
 lc_steer__drop (LcDropReason reason)
 {
-  return (LcSteer){ .kind = LC_STEER_DROP, .reason = reason };
+  return (LcSteerDecision){ .kind = LC_STEER_DROP, .reason = reason };
 }
 
-static LcSteer
+static LcSteerDecision
 lc_steer__to (LcSteerKind kind, const LcCandidate *to)
 {
-  return (LcSteer){ .kind = kind, .to = *to };
+  return (LcSteerDecision){ .kind = kind, .to = *to };
 }
 
 /* To the next candidate; at the end of the list, to the assigner if the packet may open a flow. */
-static LcSteer
-lc_steer__walk_on (const LcEnvelope *e, const LcPacket *packet, bool is_pending, bool is_stray)
+static LcSteerDecision
+lc_steer__next_candidate (const LcEnvelope *e,
+                          const LcPacket *packet,
+                          bool is_pending,
+                          bool is_stray)
 {
-  LcSteer s = { .kind = LC_STEER_NEXT };
+  LcSteerDecision s = { .kind = LC_STEER_NEXT };
 
   if (e->hop + 1 < e->n)
     {
@@ -30,47 +33,47 @@
   return lc_steer__to (LC_STEER_DEFER, &e->candidates[e->assigner]);
 }
 
-static LcSteer
-lc_steer__not_mine (const LcEnvelope *e, const LcPacket *packet)
+static LcSteerDecision
+lc_steer__misaddressed (const LcEnvelope *e, const LcPacket *packet)
 {
   switch (e->mode)
     {
     case LC_MODE_WALK:
-      return lc_steer__walk_on (e, packet, false, false);
+      return lc_steer__next_candidate (e, packet, false, false);
     case LC_MODE_OWNER:
-      return lc_steer__walk_on (e, packet, false, true);
+      return lc_steer__next_candidate (e, packet, false, true);
     default:
       return lc_steer__drop (LC_DROP_WRONG_INSTANCE);
     }
 }
 
 /* This agent assigns the flow, unless a PENDING entry names an older assigner. */
-static LcSteer
-lc_steer__assign (const LcSteerSelf *self, const LcEnvelope *e, const LcSteerKnown *known)
+static LcSteerDecision
+lc_steer__assign (const LcSteerSelf *self, const LcEnvelope *e, const LcSteerEntry *known)
 {
   if (known->kind == LC_FLOW_PENDING && known->is_live && known->rank < e->set_rank &&
       !lc_candidate_equal (&known->other, &self->agent))
     return lc_steer__to (LC_STEER_DEFER, &known->other);
   if (self->is_cut_off)
     return lc_steer__drop (LC_DROP_NO_ENDPOINT);
-  return (LcSteer){ .kind = LC_STEER_ASSIGN };
+  return (LcSteerDecision){ .kind = LC_STEER_ASSIGN };
 }
 
-static LcSteer
+static LcSteerDecision
 lc_steer__open (const LcSteerSelf *self)
 {
   if (self->is_leaving || self->is_cut_off)
-    return (LcSteer){ .kind = LC_STEER_REFUSE, .reason = LC_DROP_LEAVING };
+    return (LcSteerDecision){ .kind = LC_STEER_REFUSE, .reason = LC_DROP_LEAVING };
   if (self->is_full)
-    return (LcSteer){ .kind = LC_STEER_REFUSE, .reason = LC_DROP_LIMIT };
-  return (LcSteer){ .kind = LC_STEER_TAKE };
+    return (LcSteerDecision){ .kind = LC_STEER_REFUSE, .reason = LC_DROP_LIMIT };
+  return (LcSteerDecision){ .kind = LC_STEER_TAKE };
 }
 
 /* A PENDING entry whose assigner is gone shows that a packet passed here while sets were settling;
  * a later agent may have added an older assigner to its list.  So the rest of the list has to be
  * visited before this agent may assign. */
 static bool
-lc_steer__may_assign_here (const LcSteerSelf *self, const LcEnvelope *e, const LcSteerKnown *known)
+lc_steer__may_assign_here (const LcSteerSelf *self, const LcEnvelope *e, const LcSteerEntry *known)
 {
   bool is_last = e->hop + 1 == e->n;
   bool is_orphaned = known->kind == LC_FLOW_PENDING && !known->is_live;
@@ -79,18 +82,18 @@
   return e->hop == e->assigner && (is_last || is_settled);
 }
 
-static LcSteer
-lc_steer__unknown (const LcSteerSelf *self,
-                   const LcEnvelope *e,
-                   const LcPacket *packet,
-                   const LcSteerKnown *known)
+static LcSteerDecision
+lc_steer__without_entry (const LcSteerSelf *self,
+                         const LcEnvelope *e,
+                         const LcPacket *packet,
+                         const LcSteerEntry *known)
 {
   switch (e->mode)
     {
     case LC_MODE_OPEN:
       return lc_steer__open (self);
     case LC_MODE_OWNER:
-      return lc_steer__walk_on (e, packet, false, true);
+      return lc_steer__next_candidate (e, packet, false, true);
     case LC_MODE_ASSIGN:
     case LC_MODE_REFUSED:
       if (!packet->may_open)
@@ -100,35 +103,37 @@
     default:
       if (packet->may_open && lc_steer__may_assign_here (self, e, known))
         return lc_steer__assign (self, e, known);
-      return lc_steer__walk_on (e, packet, packet->may_open, false);
+      return lc_steer__next_candidate (e, packet, packet->may_open, false);
     }
 }
 
 /* Two agents have each sent the flow to the other to own: the one of lower id takes it. */
 static bool
-lc_steer__is_crossed (const LcSteerSelf *self, const LcEnvelope *e, const LcSteerKnown *known)
+lc_steer__is_mutual_open (const LcSteerSelf *self, const LcEnvelope *e, const LcSteerEntry *known)
 {
   return e->mode == LC_MODE_OPEN && !known->is_confirmed && self->agent.id < known->other.id &&
          lc_candidate_equal (&known->other, &e->candidates[e->assigner]);
 }
 
-LcSteer
-lc_steer (const LcSteerSelf *self,
-          const LcEnvelope *e,
-          const LcPacket *packet,
-          const LcSteerKnown *known)
+LcSteerDecision
+lc_steer_decide (const LcSteerSelf *self,
+                 const LcEnvelope *e,
+                 const LcPacket *packet,
+                 const LcSteerEntry *known)
 {
   if (e->service_id != self->service_id || e->target_id != self->agent.id ||
       e->target_instance != self->agent.instance)
-    return lc_steer__not_mine (e, packet);
+    return lc_steer__misaddressed (e, packet);
   if (known->kind == LC_FLOW_OWNED)
-    return (LcSteer){ .kind = LC_STEER_DELIVER };
-  if (known->kind == LC_FLOW_POINTER && known->is_live && !lc_steer_is_stray (e, &known->other) &&
-      !lc_candidate_equal (&known->other, &self->agent) && !lc_steer__is_crossed (self, e, known))
+    return (LcSteerDecision){ .kind = LC_STEER_DELIVER };
+  if (known->kind == LC_FLOW_POINTER && known->is_live &&
+      !lc_steer_is_stale_pointer (e, &known->other) &&
+      !lc_candidate_equal (&known->other, &self->agent) &&
+      !lc_steer__is_mutual_open (self, e, known))
     {
       if (known->is_confirmed || !packet->may_open)
         return lc_steer__to (LC_STEER_OWNER, &known->other);
       return lc_steer__to (LC_STEER_OPEN, &known->other);
     }
-  return lc_steer__unknown (self, e, packet, known);
+  return lc_steer__without_entry (self, e, packet, known);
 }
--- a/src/core/flow/lc-steer.h
+++ b/src/core/flow/lc-steer.h
@@ -49,7 +49,7 @@
     bool is_live;      /* `other` is not known to be gone */
     bool is_confirmed; /* POINTER */
     LcRevision rank;   /* PENDING: of the assigner's set; lower is older */
-  } LcSteerKnown;
+  } LcSteerEntry;
 
   typedef enum
   {
@@ -78,16 +78,16 @@
         bool is_stray;   /* a stale pointer led here: put this agent into `stray_id` */
       } next;
     };
-  } LcSteer;
+  } LcSteerDecision;
 
-  LcSteer lc_steer (const LcSteerSelf *self,
-                    const LcEnvelope *envelope,
-                    const LcPacket *packet,
-                    const LcSteerKnown *known);
+  LcSteerDecision lc_steer_decide (const LcSteerSelf *self,
+                                   const LcEnvelope *envelope,
+                                   const LcPacket *packet,
+                                   const LcSteerEntry *known);
 
   /* Whether the envelope reports the pointer to this owner as stale. */
   static inline bool
-  lc_steer_is_stray (const LcEnvelope *e, const LcCandidate *owner)
+  lc_steer_is_stale_pointer (const LcEnvelope *e, const LcCandidate *owner)
   {
     return e->stray_id == owner->id && e->stray_instance == owner->instance && e->stray_id != 0;
   }
--- a/src/core/flow/lc-cold-limit.h
+++ b/src/core/flow/lc-warmup-limit.h
@@ -1,4 +1,4 @@
-/* lc-cold-limit: sliding-window rate limiter for a backend server that is warming up.
+/* lc-warmup-limit: sliding-window rate limiter for a backend server that is warming up.
  *
  * WHAT IT IS
  *   For some seconds after its start a backend server handles few requests a second: its caches
@@ -13,26 +13,26 @@
  *   others are at capacity: all excess load is offered to the cold ones at once.
  *
  * LIMITS, AND WHY
- *   - The window is LC_COLD_LIMIT_WINDOW_US, a little over a second: a granted request reaches
+ *   - The window is LC_WARMUP_LIMIT_WINDOW_US, a little over a second: a granted request reaches
  *     the server later, by up to a scheduling delay.
  *   - A restarted agent has no record of the second before.  For one window it grants only half of
  *     what is allowed beyond the rate (overshoot and slack), so that two starts within a second
  *     stay below the bound.
- *   - Rates above LC_COLD_LIMIT_MOST a second are treated as that.
+ *   - Rates above LC_WARMUP_LIMIT_MAX_RATE a second are treated as that.
  *
  * HOW TO USE IT
- *     lc_cold_limit_init (&limit, &desc, now_us);      earlier grants are unknown
- *     lc_cold_limit_set_rate (&limit, rate_mrps);      0: no limit
- *     lc_cold_limit_set_cold (&limit, is_cold);
- *     if (lc_cold_limit_has_room (&limit, now_us))
- *       lc_cold_limit_note (&limit, now_us);         and give the request to the server
+ *     lc_warmup_limit_init (&limit, &desc, now_us);      earlier grants are unknown
+ *     lc_warmup_limit_set_rate (&limit, rate_mrps);      0: no limit
+ *     lc_warmup_limit_set_cold (&limit, is_cold);
+ *     if (lc_warmup_limit_allows (&limit, now_us))
+ *       lc_warmup_limit_record (&limit, now_us);         and give the request to the server
  *   Record grants while the server is warm, too: it may restart a moment later.
  *
  * LIFETIME
  *   Plain values; nothing to free.
  */
-#ifndef LC_COLD_LIMIT_H
-#define LC_COLD_LIMIT_H
+#ifndef LC_WARMUP_LIMIT_H
+#define LC_WARMUP_LIMIT_H
 
 #include "core/lc-types.h"
 
@@ -43,39 +43,39 @@
 
   enum
   {
-    LC_COLD_LIMIT_MOST = 512,
+    LC_WARMUP_LIMIT_MAX_RATE = 512,
   };
 
-#define LC_COLD_LIMIT_WINDOW_US (LC_US_PER_S + 50 * LC_US_PER_MS)
+#define LC_WARMUP_LIMIT_WINDOW_US (LC_US_PER_S + 50 * LC_US_PER_MS)
 
   typedef struct
   {
     uint32_t overshoot_permille; /* bound in any second, of the rate; below 1000: 1000, the rate */
     uint32_t slack;              /* requests a second allowed beyond that */
-  } LcColdLimitDesc;
+  } LcWarmupLimitDesc;
 
   typedef struct
   {
-    LcColdLimitDesc desc;
+    LcWarmupLimitDesc desc;
     uint32_t rate_mrps; /* thousandths of a request a second; 0: no limit */
     bool is_cold;
     int64_t started_us;
-    uint32_t n_since_start;               /* grants in the first window */
-    uint32_t next;                        /* index of the next grant in `times_us` */
-    int64_t times_us[LC_COLD_LIMIT_MOST]; /* ring buffer of the last grants; 0: none */
-  } LcColdLimit;
+    uint32_t n_since_start;                     /* grants in the first window */
+    uint32_t next;                              /* index of the next grant in `times_us` */
+    int64_t times_us[LC_WARMUP_LIMIT_MAX_RATE]; /* ring buffer of the last grants; 0: none */
+  } LcWarmupLimit;
 
-  void lc_cold_limit_init (LcColdLimit *limit, const LcColdLimitDesc *desc, int64_t now_us);
+  void lc_warmup_limit_init (LcWarmupLimit *limit, const LcWarmupLimitDesc *desc, int64_t now_us);
   /* The backend server started under this process, so there were no earlier grants: the reduced
    * limit of the first window doesn't apply. */
-  void lc_cold_limit_know_all (LcColdLimit *limit);
-  void lc_cold_limit_set_rate (LcColdLimit *limit, uint32_t rate_mrps);
-  void lc_cold_limit_set_cold (LcColdLimit *limit, bool is_cold);
-  bool lc_cold_limit_has_room (const LcColdLimit *limit, int64_t now_us);
-  void lc_cold_limit_note (LcColdLimit *limit, int64_t now_us);
+  void lc_warmup_limit_skip_first_window (LcWarmupLimit *limit);
+  void lc_warmup_limit_set_rate (LcWarmupLimit *limit, uint32_t rate_mrps);
+  void lc_warmup_limit_set_cold (LcWarmupLimit *limit, bool is_cold);
+  bool lc_warmup_limit_allows (const LcWarmupLimit *limit, int64_t now_us);
+  void lc_warmup_limit_record (LcWarmupLimit *limit, int64_t now_us);
 
 #ifdef __cplusplus
 }
 #endif
 
-#endif /* LC_COLD_LIMIT_H */
+#endif /* LC_WARMUP_LIMIT_H */
