--- a/src/core/lc-homes.c
+++ b/src/core/lc-home-regions.c
@@ -1,10 +1,10 @@
-#include "lc-homes.h"
+#include "lc-home-regions.h"
 
 #include <glib.h>
 #include <string.h>
 
 int
-lc_homes_add (char homes[LC_HOMES_BYTES], const char *region, LcError *error)
+lc_home_regions_add (char homes[LC_HOME_REGIONS_BYTES], const char *region, LcError *error)
 {
   size_t used = strlen (homes);
   size_t len = strlen (region);
@@ -13,11 +13,12 @@
     return lc_error_set (
         error, LC_ERR_INVALID, "use a region name from the settings of the data centres",
         "a home region is not a name of 1 to %d bytes without commas", LC_NAME_MAX - 1);
-  if (lc_homes_has (homes, region))
+  if (lc_home_regions_include (homes, region))
     return 0;
-  if (used + (used > 0) + len >= LC_HOMES_BYTES)
+  if (used + (used > 0) + len >= LC_HOME_REGIONS_BYTES)
     return lc_error_set (error, LC_ERR_INVALID, "list fewer regions, or omit homes",
-                         "the home regions of an address exceed %d bytes", LC_HOMES_BYTES - 1);
+                         "the home regions of an address exceed %d bytes",
+                         LC_HOME_REGIONS_BYTES - 1);
   if (used > 0)
     homes[used++] = ',';
   memcpy (&homes[used], region, len + 1);
@@ -25,7 +26,7 @@
 }
 
 bool
-lc_homes_has (const char *homes, const char *region)
+lc_home_regions_include (const char *homes, const char *region)
 {
   size_t len = strlen (region);
 
--- a/src/core/lc-homes.h
+++ b/src/core/lc-home-regions.h
@@ -1,4 +1,4 @@
-/* lc-homes: the home regions of an address, to which its new flows are restricted.
+/* lc-home-regions: the home regions of an address, to which its new flows are restricted.
  *
  * WHAT IT IS
  *   An address may have homes: the names of the regions whose backend servers its new flows may
@@ -7,17 +7,17 @@
  *   view.
  *
  * HOW TO USE IT
- *     char homes[LC_HOMES_BYTES] = "";
- *     r = lc_homes_add (homes, "southeast", &error);
- *     if (lc_homes_has (homes, dc->region)) ...
+ *     char homes[LC_HOME_REGIONS_BYTES] = "";
+ *     r = lc_home_regions_add (homes, "southeast", &error);
+ *     if (lc_home_regions_include (homes, dc->region)) ...
  *     if (lc_region_is_in (lc_view_home_regions (view, homes), lc_view_region (view, dc->id))) ...
  *
  * LIMITS
- *   LC_HOMES_BYTES for the names of one address, LC_REGIONS_MAX regions per view.
+ *   LC_HOME_REGIONS_BYTES for the names of one address, LC_REGIONS_MAX regions per view.
  *   A data centre without a region, or beyond that number, is no home of an address that has homes.
  */
-#ifndef LC_HOMES_H
-#define LC_HOMES_H
+#ifndef LC_HOME_REGIONS_H
+#define LC_HOME_REGIONS_H
 
 #include "lc-error.h"
 #include "lc-types.h"
@@ -32,7 +32,7 @@
 
   enum
   {
-    LC_HOMES_BYTES = 96, /* with the final NUL */
+    LC_HOME_REGIONS_BYTES = 96, /* with the final NUL */
     LC_REGIONS_MAX = 64,
     LC_REGION_NONE = UINT8_MAX,
   };
@@ -44,8 +44,8 @@
 
   /* 0, also when the region is listed already; LC_ERR_INVALID when it is empty, has a comma, or
    * does not fit. */
-  int lc_homes_add (char homes[LC_HOMES_BYTES], const char *region, LcError *error);
-  bool lc_homes_has (const char *homes, const char *region);
+  int lc_home_regions_add (char homes[LC_HOME_REGIONS_BYTES], const char *region, LcError *error);
+  bool lc_home_regions_include (const char *homes, const char *region);
 
   static inline bool
   lc_region_is_in (LcRegionMask mask, uint8_t region)
@@ -57,4 +57,4 @@
 }
 #endif
 
-#endif /* LC_HOMES_H */
+#endif /* LC_HOME_REGIONS_H */
--- a/src/core/lc-view-look.c
+++ b/src/core/lc-view-lookup.c
@@ -7,7 +7,7 @@
 const LcService *
 lc_view_service (const LcView *view, LcServiceId id)
 {
-  return lc_view__find (view, id);
+  return lc_view__find_service (view, id);
 }
 
 static const LcService *
@@ -31,7 +31,7 @@
 
   if (id == NULL)
     return NULL;
-  s = lc_view__find (view, GPOINTER_TO_UINT (id));
+  s = lc_view__find_service (view, GPOINTER_TO_UINT (id));
   return s != NULL && strcmp (s->name, name) == 0 ? s : lc_view__scan_service (view, name);
 }
 
@@ -44,7 +44,7 @@
 
   if (service_id == NULL)
     return NULL;
-  s = lc_view__find (view, GPOINTER_TO_UINT (service_id));
+  s = lc_view__find_service (view, GPOINTER_TO_UINT (service_id));
   at = lc_view__lower_bound (s->endpoints, s->n_endpoints, id);
   return at < s->n_endpoints && s->endpoints[at].id == id ? &s->endpoints[at] : NULL;
 }
@@ -123,7 +123,7 @@
       uint8_t region = lc_view__region_at (view, i);
 
       if (region < LC_REGIONS_MAX &&
-          lc_homes_has (homes, g_array_index (view->dcs, LcDataCentre, i).region))
+          lc_home_regions_include (homes, g_array_index (view->dcs, LcDataCentre, i).region))
         mask |= (LcRegionMask)1 << region;
     }
   return mask;
--- a/src/core/lc-view.c
+++ b/src/core/lc-view.c
@@ -52,7 +52,7 @@
 
 /* Removes a name from an index, unless it now maps to another id. */
 static void
-lc_view__forget_name (GHashTable *names, const char *name, uint32_t id)
+lc_view__remove_name (GHashTable *names, const char *name, uint32_t id)
 {
   if (g_hash_table_lookup (names, lc_view__name_key (name)) == lc_view__key (id))
     g_hash_table_remove (names, lc_view__name_key (name));
@@ -77,7 +77,7 @@
 }
 
 LcService *
-lc_view__find (const LcView *view, LcServiceId id)
+lc_view__find_service (const LcView *view, LcServiceId id)
 {
   return g_hash_table_lookup (view->services, lc_view__key (id));
 }
@@ -205,11 +205,11 @@
 }
 
 static void
-lc_view__note_change (LcView *view,
-                      LcService *s,
-                      const LcEndpoint *before,
-                      const LcEndpoint *after,
-                      LcRevision revision)
+lc_view__record_change (LcView *view,
+                        LcService *s,
+                        const LcEndpoint *before,
+                        const LcEndpoint *after,
+                        LcRevision revision)
 {
   if (!lc_view__changes_candidates (before, after))
     return;
@@ -285,7 +285,7 @@
 
   if (known == NULL)
     return;
-  lc_view__forget_name (view->balancer_names, known->name, id);
+  lc_view__remove_name (view->balancer_names, known->name, id);
   g_array_remove_index (view->balancers, lc_view__balancer_at (view, id));
 }
 
@@ -293,7 +293,7 @@
 static void
 lc_view__put_service (LcView *view, const LcService *service)
 {
-  LcService *s = lc_view__find (view, service->id);
+  LcService *s = lc_view__find_service (view, service->id);
 
   if (s == NULL)
     {
@@ -302,7 +302,7 @@
       g_hash_table_insert (view->services, lc_view__key (s->id), s);
     }
   else
-    lc_view__forget_name (view->service_names, s->name, s->id);
+    lc_view__remove_name (view->service_names, s->name, s->id);
   g_hash_table_insert (view->service_names, lc_view__name_key (service->name),
                        lc_view__key (s->id));
   memcpy (s->name, service->name, sizeof s->name);
@@ -359,7 +359,7 @@
 }
 
 static void
-lc_view__forget_host (LcView *view, const LcRoute *route)
+lc_view__unindex_host (LcView *view, const LcRoute *route)
 {
   gpointer key = lc_view__host_key (route->host, strlen (route->host));
   GArray *ids = g_hash_table_lookup (view->route_hosts, key);
@@ -375,7 +375,7 @@
 }
 
 static void
-lc_view__learn_host (LcView *view, const LcRoute *route)
+lc_view__index_host (LcView *view, const LcRoute *route)
 {
   gpointer key = lc_view__host_key (route->host, strlen (route->host));
   GArray *ids = g_hash_table_lookup (view->route_hosts, key);
@@ -395,7 +395,7 @@
 
   if (route == NULL)
     return;
-  lc_view__forget_host (view, route);
+  lc_view__unindex_host (view, route);
   g_array_remove_index (view->routes, lc_view__route_at (view, id));
 }
 
@@ -404,7 +404,7 @@
 {
   lc_view__remove_route (view, route->id);
   g_array_insert_vals (view->routes, lc_view__route_at (view, route->id), route, 1);
-  lc_view__learn_host (view, route);
+  lc_view__index_host (view, route);
 }
 
 static void
@@ -422,16 +422,16 @@
 static void
 lc_view__remove_service (LcView *view, LcServiceId id)
 {
-  LcService *s = lc_view__find (view, id);
+  LcService *s = lc_view__find_service (view, id);
 
   if (s == NULL)
     return;
   for (uint32_t i = 0; i < s->n_endpoints; i++)
     {
       g_hash_table_remove (view->endpoints, lc_view__key (s->endpoints[i].id));
-      lc_view__forget_name (view->endpoint_names, s->endpoints[i].name, s->endpoints[i].id);
+      lc_view__remove_name (view->endpoint_names, s->endpoints[i].name, s->endpoints[i].id);
     }
-  lc_view__forget_name (view->service_names, s->name, id);
+  lc_view__remove_name (view->service_names, s->name, id);
   g_hash_table_remove (view->unsettled, s);
   g_hash_table_foreach_remove (view->addresses, lc_view__address_is_of, lc_view__key (id));
   lc_view__remove_routes_of (view, id);
@@ -441,7 +441,7 @@
 static int
 lc_view__put_endpoint (LcView *view, const LcEndpoint *e, LcRevision revision, LcError *error)
 {
-  LcService *s = lc_view__find (view, e->service_id);
+  LcService *s = lc_view__find_service (view, e->service_id);
   uint32_t at;
 
   if (s == NULL)
@@ -451,13 +451,13 @@
   g_hash_table_insert (view->endpoint_names, lc_view__name_key (e->name), lc_view__key (e->id));
   if (at < s->n_endpoints && s->endpoints[at].id == e->id)
     {
-      lc_view__note_change (view, s, &s->endpoints[at], e, revision);
+      lc_view__record_change (view, s, &s->endpoints[at], e, revision);
       if (s->endpoints[at].ipv4 != e->ipv4)
         s->roster_revision = revision;
       s->endpoints[at] = *e;
       return 0;
     }
-  lc_view__note_change (view, s, NULL, e, revision);
+  lc_view__record_change (view, s, NULL, e, revision);
   s->roster_revision = revision;
   s->endpoints = g_renew (LcEndpoint, s->endpoints, s->n_endpoints + 1);
   memmove (&s->endpoints[at + 1], &s->endpoints[at], (s->n_endpoints - at) * sizeof *e);
@@ -470,7 +470,7 @@
 static void
 lc_view__remove_endpoint (LcView *view, const LcEndpoint *e, LcRevision revision)
 {
-  LcService *s = lc_view__find (view, e->service_id);
+  LcService *s = lc_view__find_service (view, e->service_id);
   uint32_t at;
 
   if (s == NULL)
@@ -478,8 +478,8 @@
   at = lc_view__lower_bound (s->endpoints, s->n_endpoints, e->id);
   if (at >= s->n_endpoints || s->endpoints[at].id != e->id)
     return;
-  lc_view__note_change (view, s, &s->endpoints[at], NULL, revision);
-  lc_view__forget_name (view->endpoint_names, s->endpoints[at].name, e->id);
+  lc_view__record_change (view, s, &s->endpoints[at], NULL, revision);
+  lc_view__remove_name (view->endpoint_names, s->endpoints[at].name, e->id);
   memmove (&s->endpoints[at], &s->endpoints[at + 1], (s->n_endpoints - at - 1) * sizeof *e);
   s->n_endpoints--;
   g_hash_table_remove (view->endpoints, lc_view__key (e->id));
@@ -528,7 +528,7 @@
 lc_view__put_former (LcView *view, const LcViewOp *op)
 {
   const LcEndpoint *e = &op->former.endpoint;
-  LcService *s = lc_view__find (view, op->former.service_id);
+  LcService *s = lc_view__find_service (view, op->former.service_id);
   LcFormerSet *set = NULL;
 
   if (s == NULL)
@@ -554,7 +554,7 @@
 static void
 lc_view__put_members_revision (LcView *view, const LcService *service)
 {
-  LcService *s = lc_view__find (view, service->id);
+  LcService *s = lc_view__find_service (view, service->id);
 
   if (s != NULL)
     {
--- a/src/core/lc-view.h
+++ b/src/core/lc-view.h
@@ -38,7 +38,7 @@
 #define LC_VIEW_H
 
 #include "lc-error.h"
-#include "lc-homes.h"
+#include "lc-home-regions.h"
 #include "lc-types.h"
 
 #include <glib.h>
@@ -125,7 +125,7 @@
     uint16_t port;
     uint8_t protocol; /* LcProtocol */
     LcServiceId service_id;
-    char homes[LC_HOMES_BYTES]; /* regions to which new flows are restricted; "": all */
+    char homes[LC_HOME_REGIONS_BYTES]; /* regions to which new flows are restricted; "": all */
   } LcAddress;
 
   /* Where requests arrive.  A matching host wins over host "" (any), then the longest path prefix
--- a/src/core/member/lc-backend-status.c
+++ b/src/core/member/lc-backend-status.c
@@ -65,7 +65,7 @@
 /* Orders a report without a time when the present start has one.  Only the end of a draining start
  * is accepted; any other can't be attributed to a start. */
 static LcBackendOrder
-lc_backend_status__order_unborn (const LcBackendStatus *s, const LcBackendReport *report)
+lc_backend_status__order_untimed (const LcBackendStatus *s, const LcBackendReport *report)
 {
   bool is_end = report->state == LC_BACKEND_ENDED && s->newest.state == LC_BACKEND_DRAINING;
 
@@ -85,7 +85,7 @@
   if (is_same_id && s->newest.born_ms == report->born_ms)
     return LC_BACKEND_ORDER_SAME;
   if (is_same_id && report->born_ms == 0)
-    return lc_backend_status__order_unborn (s, report);
+    return lc_backend_status__order_untimed (s, report);
   if (have_both && report->born_ms < s->newest.born_ms &&
       (is_same_id || !lc_backend_status__is_silent (s, now_us)))
     return LC_BACKEND_ORDER_EARLIER;
@@ -103,7 +103,7 @@
 }
 
 static void
-lc_backend_status__note (LcBackendStatus *s, const LcBackendReport *report, int64_t now_us)
+lc_backend_status__store (LcBackendStatus *s, const LcBackendReport *report, int64_t now_us)
 {
   s->newest = *report;
   s->reported_us = now_us;
@@ -113,7 +113,7 @@
 /* === public ================================================================================= */
 
 bool
-lc_backend_report_is_of_new (const LcBackendReport *report, uint64_t began_ms)
+lc_backend_report_is_new_start (const LcBackendReport *report, uint64_t began_ms)
 {
   if (report->sequence <= LC_BACKEND_FIRST_REPORT)
     return true;
@@ -132,14 +132,14 @@
 }
 
 void
-lc_backend_status_note_named (LcBackendStatus *s, LcInstance instance)
+lc_backend_status_set_listed (LcBackendStatus *s, LcInstance instance)
 {
   if (s->newest.state == LC_BACKEND_UNKNOWN)
     s->listed = instance;
 }
 
-LcBackendNews
-lc_backend_status_take (LcBackendStatus *s, const LcBackendReport *report, int64_t now_us)
+LcBackendUpdate
+lc_backend_status_apply (LcBackendStatus *s, const LcBackendReport *report, int64_t now_us)
 {
   LcBackendState before = s->newest.state;
   LcBackendReport taken = *report;
@@ -147,12 +147,12 @@
   switch (lc_backend_status__order (s, report, now_us))
     {
     case LC_BACKEND_ORDER_EARLIER:
-      return LC_BACKEND_LATE;
+      return LC_BACKEND_STALE;
     case LC_BACKEND_ORDER_LATER:
       if (report->state == LC_BACKEND_ENDED)
-        return LC_BACKEND_LATE;
+        return LC_BACKEND_STALE;
       lc_backend_status__retire (s, lc_backend_status__instance_of (report));
-      lc_backend_status__note (s, report, now_us);
+      lc_backend_status__store (s, report, now_us);
       return LC_BACKEND_STARTED;
     case LC_BACKEND_ORDER_SAME:
     default:
@@ -161,20 +161,20 @@
   /* The state never goes back, in whatever order the reports come. */
   if (report->state < before ||
       (report->state != LC_BACKEND_ENDED && report->sequence <= s->newest.sequence))
-    return LC_BACKEND_LATE;
+    return LC_BACKEND_STALE;
   taken.born_ms = s->newest.born_ms; /* the report of an end may lack it */
-  lc_backend_status__note (s, &taken, now_us);
-  return report->state != before ? LC_BACKEND_CHANGED : LC_BACKEND_SAME;
+  lc_backend_status__store (s, &taken, now_us);
+  return report->state != before ? LC_BACKEND_CHANGED : LC_BACKEND_UNCHANGED;
 }
 
 bool
-lc_backend_status_is_open (const LcBackendStatus *s, int64_t now_us)
+lc_backend_status_is_available (const LcBackendStatus *s, int64_t now_us)
 {
   return s->newest.state == LC_BACKEND_READY && !lc_backend_status__is_silent (s, now_us);
 }
 
 bool
-lc_backend_status_may_ask (const LcBackendStatus *s, bool is_candidate, int64_t now_us)
+lc_backend_status_may_try (const LcBackendStatus *s, bool is_candidate, int64_t now_us)
 {
   int64_t ask_us = (int64_t)s->desc.interval_ms * LC_BACKEND_ASK_PERMILLE;
 
--- a/src/core/member/lc-backend-status.h
+++ b/src/core/member/lc-backend-status.h
@@ -16,9 +16,9 @@
  *
  * HOW TO USE IT
  *     lc_backend_status_init (&status, &desc, now_us);
- *     switch (lc_backend_status_take (&status, &report, now_us)) ...
- *     if (lc_backend_status_is_open (&status, now_us) ||
- *         lc_backend_status_may_ask (&status, is_candidate, now_us))
+ *     switch (lc_backend_status_apply (&status, &report, now_us)) ...
+ *     if (lc_backend_status_is_available (&status, now_us) ||
+ *         lc_backend_status_may_try (&status, is_candidate, now_us))
  *       it may be given a new flow
  *
  * LIFETIME
@@ -64,11 +64,11 @@
 
   typedef enum
   {
-    LC_BACKEND_SAME = 0,    /* a refresh without change */
-    LC_BACKEND_LATE = 1,    /* older than the newest report: ignored */
-    LC_BACKEND_STARTED = 2, /* a new start: it holds no earlier flow */
-    LC_BACKEND_CHANGED = 3, /* the state advanced */
-  } LcBackendNews;
+    LC_BACKEND_UNCHANGED = 0, /* a refresh without change */
+    LC_BACKEND_STALE = 1,     /* older than the newest report: ignored */
+    LC_BACKEND_STARTED = 2,   /* a new start: it holds no earlier flow */
+    LC_BACKEND_CHANGED = 3,   /* the state advanced */
+  } LcBackendUpdate;
 
   typedef struct
   {
@@ -90,21 +90,21 @@
    * clock), can have assigned flows to the start of this report.  True for its first report, and
    * for its second when both began together, as at the boot of their VM: an earlier agent would
    * have had to start, get a view, be given flows and end in between. */
-  bool lc_backend_report_is_of_new (const LcBackendReport *report, uint64_t began_ms);
+  bool lc_backend_report_is_new_start (const LcBackendReport *report, uint64_t began_ms);
 
   void
   lc_backend_status_init (LcBackendStatus *status, const LcBackendStatusDesc *desc, int64_t now_us);
   /* Sets the start that the view lists.  If another one reports first, a delayed report of this one
    * counts as late. */
-  void lc_backend_status_note_named (LcBackendStatus *status, LcInstance instance);
-  LcBackendNews
-  lc_backend_status_take (LcBackendStatus *status, const LcBackendReport *report, int64_t now_us);
+  void lc_backend_status_set_listed (LcBackendStatus *status, LcInstance instance);
+  LcBackendUpdate
+  lc_backend_status_apply (LcBackendStatus *status, const LcBackendReport *report, int64_t now_us);
   /* Whether it may be given new flows: ready, and its newest report at most 2.5 intervals old. */
-  bool lc_backend_status_is_open (const LcBackendStatus *status, int64_t now_us);
+  bool lc_backend_status_is_available (const LcBackendStatus *status, int64_t now_us);
   /* Whether a backend server without a report may be tried.  After a restart of its agent it most
    * likely still runs, refuses what it can't accept, and reports within an interval.
    * `is_candidate`: the view lists it, and not as leaving. */
-  bool lc_backend_status_may_ask (const LcBackendStatus *status, bool is_candidate, int64_t now_us);
+  bool lc_backend_status_may_try (const LcBackendStatus *status, bool is_candidate, int64_t now_us);
   /* Whether it is in its slow start; true without a report, as it may be. */
   bool lc_backend_status_is_cold (const LcBackendStatus *status, int64_t now_us);
   /* Hash of the id and time of the present start; 0 without a report. */
--- a/src/core/member/lc-batch-pace.c
+++ b/src/core/member/lc-batch-pace.c
@@ -22,7 +22,7 @@
 }
 
 void
-lc_batch_pace_sent (LcBatchPace *pace, int64_t now_us)
+lc_batch_pace_record_sent (LcBatchPace *pace, int64_t now_us)
 {
   pace->due_us = 0;
   pace->sent_us = now_us;
@@ -31,12 +31,12 @@
 }
 
 bool
-lc_batch_pace_failed (LcBatchPace *pace, int64_t now_us)
+lc_batch_pace_should_retry (LcBatchPace *pace, int64_t now_us)
 {
   int64_t since_us = pace->failing_us != 0 ? pace->failing_us : now_us;
   bool is_kept = now_us - since_us < pace->desc.retry_for_us;
 
-  lc_batch_pace_sent (pace, now_us);
+  lc_batch_pace_record_sent (pace, now_us);
   pace->failing_us = is_kept ? since_us : 0;
   return is_kept;
 }
--- a/src/core/member/lc-batch-pace.h
+++ b/src/core/member/lc-batch-pace.h
@@ -11,8 +11,8 @@
  * HOW TO USE IT
  *     lc_batch_pace_init (&pace, &desc);
  *     due_us = lc_batch_pace_add (&pace, now_us);      a change has come: send at due_us
- *     lc_batch_pace_sent (&pace, now_us);              all pending changes were sent
- *     if (lc_batch_pace_failed (&pace, now_us))        not accepted: retry at due_us
+ *     lc_batch_pace_record_sent (&pace, now_us);              all pending changes were sent
+ *     if (lc_batch_pace_should_retry (&pace, now_us))        not accepted: retry at due_us
  *       due_us = lc_batch_pace_add (&pace, now_us);
  *
  * LIFETIME
@@ -47,10 +47,10 @@
   void lc_batch_pace_init (LcBatchPace *pace, const LcBatchPaceDesc *desc);
   /* Returns when the pending changes are due, set by the first of them. */
   int64_t lc_batch_pace_add (LcBatchPace *pace, int64_t now_us);
-  void lc_batch_pace_sent (LcBatchPace *pace, int64_t now_us);
+  void lc_batch_pace_record_sent (LcBatchPace *pace, int64_t now_us);
   /* The batch was not accepted.  Returns whether to keep and retry it: a report received just
    * before a leader is elected would otherwise be missing until its sender repeats it. */
-  bool lc_batch_pace_failed (LcBatchPace *pace, int64_t now_us);
+  bool lc_batch_pace_should_retry (LcBatchPace *pace, int64_t now_us);
 
 #ifdef __cplusplus
 }
--- a/src/core/member/lc-first-view.h
+++ b/src/core/member/lc-first-view.h
@@ -11,15 +11,15 @@
  *   answer to the first view, 83 VMs.
  *
  * LIMITS, AND WHY
- *   - LC_FIRST_VIEW_OTHERS_MS after the first offer: a running upstream answers within some 50 ms,
+ *   - LC_FIRST_VIEW_WAIT_MS after the first offer: a running upstream answers within some 50 ms,
  *     even where CPU quota is granted in periods of 100 ms.
- *   - LC_FIRST_VIEW_START_MS after the start, the member waits for no upstream any more.
+ *   - LC_FIRST_VIEW_WAIT_MAX_MS after the start, the member waits for no upstream any more.
  *   A member that took an old view leaves it once it has had word of a newer one for a second.
  *
  * HOW TO USE IT
  *     LcFirstView first = { .started_us = now_us };
- *     lc_first_view_offered (&first, now_us);                     an upstream has a view
- *     if (lc_first_view_may_take (&first, n_unanswered, now_us)) ...
+ *     lc_first_view_record_offer (&first, now_us);                     an upstream has a view
+ *     if (lc_first_view_may_accept (&first, n_unanswered, now_us)) ...
  *
  * LIFETIME
  *   Plain values; nothing to free.
@@ -36,8 +36,8 @@
 
   enum
   {
-    LC_FIRST_VIEW_OTHERS_MS = 60,
-    LC_FIRST_VIEW_START_MS = 500,
+    LC_FIRST_VIEW_WAIT_MS = 60,
+    LC_FIRST_VIEW_WAIT_MAX_MS = 500,
   };
 
   typedef struct
@@ -46,9 +46,9 @@
     int64_t offered_us; /* when an upstream first reported a view; 0: none has */
   } LcFirstView;
 
-  void lc_first_view_offered (LcFirstView *first, int64_t now_us);
+  void lc_first_view_record_offer (LcFirstView *first, int64_t now_us);
   /* `n_unanswered`: upstreams asked that have not reported their revision. */
-  bool lc_first_view_may_take (const LcFirstView *first, uint32_t n_unanswered, int64_t now_us);
+  bool lc_first_view_may_accept (const LcFirstView *first, uint32_t n_unanswered, int64_t now_us);
 
 #ifdef __cplusplus
 }
--- a/src/core/member/lc-flap.c
+++ b/src/core/member/lc-flap.c
@@ -21,7 +21,7 @@
 } LcFlapRecord;
 
 static uint32_t
-lc_flap__or (uint32_t value, uint32_t fallback)
+lc_flap__or_default (uint32_t value, uint32_t fallback)
 {
   return value != 0 ? value : fallback;
 }
@@ -30,10 +30,10 @@
 lc_flap_init (LcFlap *flap, const LcFlapDesc *desc)
 {
   memset (flap, 0, sizeof *flap);
-  flap->desc.half_life_ms = lc_flap__or (desc->half_life_ms, LC_FLAP_HALF_LIFE_MS);
-  flap->desc.suppress_at = lc_flap__or (desc->suppress_at, LC_FLAP_SUPPRESS_AT);
-  flap->desc.reuse_at = lc_flap__or (desc->reuse_at, LC_FLAP_REUSE_AT);
-  flap->desc.max_penalty = lc_flap__or (desc->max_penalty, LC_FLAP_MAX_PENALTY);
+  flap->desc.half_life_ms = lc_flap__or_default (desc->half_life_ms, LC_FLAP_HALF_LIFE_MS);
+  flap->desc.suppress_at = lc_flap__or_default (desc->suppress_at, LC_FLAP_SUPPRESS_AT);
+  flap->desc.reuse_at = lc_flap__or_default (desc->reuse_at, LC_FLAP_REUSE_AT);
+  flap->desc.max_penalty = lc_flap__or_default (desc->max_penalty, LC_FLAP_MAX_PENALTY);
   flap->records = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
 
@@ -46,7 +46,7 @@
 }
 
 static void
-lc_flap__decay (const LcFlap *flap, LcFlapRecord *record, int64_t now_us)
+lc_flap__decay_penalty (const LcFlap *flap, LcFlapRecord *record, int64_t now_us)
 {
   double half_lives =
       (double)(now_us - record->at_us) / ((double)flap->desc.half_life_ms * LC_US_PER_MS);
@@ -56,7 +56,7 @@
 }
 
 void
-lc_flap_note (LcFlap *flap, const char *name, int64_t now_us)
+lc_flap_record_return (LcFlap *flap, const char *name, int64_t now_us)
 {
   LcFlapRecord *record = g_hash_table_lookup (flap->records, name);
 
@@ -66,7 +66,7 @@
       record->at_us = now_us;
       g_hash_table_insert (flap->records, g_strdup (name), record);
     }
-  lc_flap__decay (flap, record, now_us);
+  lc_flap__decay_penalty (flap, record, now_us);
   record->penalty = MIN (record->penalty + LC_FLAP_PENALTY, flap->desc.max_penalty);
   if (record->penalty < flap->desc.suppress_at)
     return;
@@ -81,7 +81,7 @@
 
   if (record == NULL || !record->is_suppressed)
     return false;
-  lc_flap__decay (flap, record, now_us);
+  lc_flap__decay_penalty (flap, record, now_us);
   if (record->penalty < flap->desc.reuse_at)
     record->is_suppressed = false;
   return record->is_suppressed;
@@ -98,7 +98,7 @@
     {
       LcFlapRecord *record = value;
 
-      lc_flap__decay (flap, record, now_us);
+      lc_flap__decay_penalty (flap, record, now_us);
       if (record->penalty < LC_FLAP_FORGET_AT && !record->is_suppressed)
         g_hash_table_iter_remove (&iter);
     }
--- a/src/core/member/lc-flap.h
+++ b/src/core/member/lc-flap.h
@@ -7,7 +7,7 @@
  *
  * HOW TO USE IT
  *     lc_flap_init (&flap, &desc);
- *     lc_flap_note (&flap, "order-3", now_us);                 it came back
+ *     lc_flap_record_return (&flap, "order-3", now_us);                 it came back
  *     if (lc_flap_is_suppressed (&flap, "order-3", now_us))    don't report it yet
  *     lc_flap_expire (&flap, now_us);                          periodically
  *     lc_flap_finish (&flap);
@@ -44,7 +44,7 @@
 
   void lc_flap_init (LcFlap *flap, const LcFlapDesc *desc);
   void lc_flap_finish (LcFlap *flap);
-  void lc_flap_note (LcFlap *flap, const char *name, int64_t now_us);
+  void lc_flap_record_return (LcFlap *flap, const char *name, int64_t now_us);
   bool lc_flap_is_suppressed (LcFlap *flap, const char *name, int64_t now_us);
   void lc_flap_expire (LcFlap *flap, int64_t now_us);
 
--- a/src/core/member/lc-flush-pace.h
+++ b/src/core/member/lc-flush-pace.h
@@ -15,7 +15,7 @@
  *
  * HOW TO USE IT
  *     started_us = now;
- *     while (a subscriber waits && !lc_flush_is_spent (started_us, now) &&
+ *     while (a subscriber waits && !lc_flush_is_slice_over (started_us, now) &&
  *            lc_flush_has_room (unsent_bytes))
  *       serve one
  *     continue after lc_flush_pause_ms (now - started_us)
@@ -40,12 +40,12 @@
   {
     LC_FLUSH_PAUSE_MIN_MS = 10, /* batches updates that come together */
     LC_FLUSH_PAUSE_MAX_MS = 200,
-    LC_FLUSH_PAUSE_TIMES = 1, /* pause per time spent sending: 1 is half of the time */
+    LC_FLUSH_PAUSE_RATIO = 1, /* pause per time spent sending: 1 is half of the time */
     /* A tenth of the memory of a control VM or balancer of 80 MB. */
     LC_FLUSH_UNSENT_MAX_BYTES = 8 << 20,
   };
 
-  bool lc_flush_is_spent (int64_t started_us, int64_t now_us);
+  bool lc_flush_is_slice_over (int64_t started_us, int64_t now_us);
   bool lc_flush_has_room (size_t unsent_bytes);
   uint32_t lc_flush_pause_ms (int64_t spent_us);
 
--- a/src/core/member/lc-lease.c
+++ b/src/core/member/lc-lease.c
@@ -117,7 +117,7 @@
 
 /* A name may move to a member of the other kind; the lease of the former one is removed. */
 static LcLease *
-lc_lease__find_same (LcLeaseTable *table, const LcMemberChange *announced)
+lc_lease__find_same_kind (LcLeaseTable *table, const LcMemberChange *announced)
 {
   LcLease *lease = lc_lease_find (table, lc_member_change_name (announced));
 
@@ -144,7 +144,7 @@
 LcLease *
 lc_lease_put (LcLeaseTable *table, const LcMemberChange *announced, int64_t now_us)
 {
-  LcLease *lease = lc_lease__find_same (table, announced);
+  LcLease *lease = lc_lease__find_same_kind (table, announced);
 
   if (lease == NULL)
     lease = lc_lease__new (table, announced);
--- a/src/core/member/lc-relays.c
+++ b/src/core/member/lc-relays.c
@@ -11,16 +11,16 @@
 
 /* Bandwidth of its link as a multiple of the thinnest; 1 where a bandwidth is not known. */
 static uint32_t
-lc_relays__times (const LcBalancer *b, uint32_t thinnest_kbps)
+lc_relays__link_ratio (const LcBalancer *b, uint32_t thinnest_kbps)
 {
-  return thinnest_kbps != 0 ? MIN (b->link_kbps / thinnest_kbps, (uint32_t)LC_RELAYS_TIMES_MAX) : 1;
+  return thinnest_kbps != 0 ? MIN (b->link_kbps / thinnest_kbps, (uint32_t)LC_RELAYS_RATIO_MAX) : 1;
 }
 
 static bool
 lc_relays__is_better (const LcBalancer *a, const LcBalancer *b, uint32_t thinnest_kbps)
 {
-  uint32_t a_ratio = lc_relays__times (a, thinnest_kbps);
-  uint32_t b_ratio = lc_relays__times (b, thinnest_kbps);
+  uint32_t a_ratio = lc_relays__link_ratio (a, thinnest_kbps);
+  uint32_t b_ratio = lc_relays__link_ratio (b, thinnest_kbps);
 
   return a_ratio != b_ratio ? a_ratio > b_ratio : lc_relays__score (a) > lc_relays__score (b);
 }
@@ -43,7 +43,7 @@
 }
 
 static bool
-lc_relays__counts (const LcBalancer *b, LcDcId dc)
+lc_relays__is_eligible (const LcBalancer *b, LcDcId dc)
 {
   return b->dc == dc && b->state == LC_BALANCER_ACTIVE;
 }
@@ -59,7 +59,7 @@
     {
       const LcBalancer *b = &g_array_index (view->balancers, LcBalancer, i);
 
-      if (!lc_relays__counts (b, dc))
+      if (!lc_relays__is_eligible (b, dc))
         continue;
       *thinnest_kbps = MIN (*thinnest_kbps, b->link_kbps);
       n++;
@@ -76,10 +76,10 @@
 {
   uint32_t wanted = LC_RELAYS_WIDE_MIN;
 
-  if (lc_relays__times (best[LC_RELAYS_WIDE_MIN - 1], thinnest_kbps) == 1)
-    return CLAMP (n / LC_RELAYS_BALANCERS, LC_RELAYS_MIN, LC_RELAYS_MAX);
+  if (lc_relays__link_ratio (best[LC_RELAYS_WIDE_MIN - 1], thinnest_kbps) == 1)
+    return CLAMP (n / LC_RELAYS_FAN_OUT, LC_RELAYS_MIN, LC_RELAYS_MAX);
   while (wanted < n_best &&
-         n > wanted * LC_RELAYS_BALANCERS * lc_relays__times (best[wanted - 1], thinnest_kbps))
+         n > wanted * LC_RELAYS_FAN_OUT * lc_relays__link_ratio (best[wanted - 1], thinnest_kbps))
     wanted++;
   return wanted;
 }
@@ -91,13 +91,13 @@
   uint32_t n_balancers = lc_relays__count (view, dc, &thinnest_kbps);
   uint32_t n = 0;
 
-  if (n_balancers <= LC_RELAYS_ABOVE)
+  if (n_balancers <= LC_RELAYS_DIRECT_MAX)
     return 0;
   for (guint i = 0; i < view->balancers->len; i++)
     {
       const LcBalancer *b = &g_array_index (view->balancers, LcBalancer, i);
 
-      if (lc_relays__counts (b, dc))
+      if (lc_relays__is_eligible (b, dc))
         n = lc_relays__insert (out, n, thinnest_kbps, b);
     }
   if (n < LC_RELAYS_WIDE_MIN)
--- a/src/core/member/lc-relays.h
+++ b/src/core/member/lc-relays.h
@@ -12,8 +12,8 @@
  *   below it, which takes seconds on a thin link.  Where all balancers of a data centre have
  *   reported the bandwidth of their links, and two links are at least twice as wide as the
  *   thinnest, the balancers with the widest links become relays, as many as can carry equal shares:
- *   LC_RELAYS_BALANCERS for each multiple of the thinnest link's bandwidth, up to
- *   LC_RELAYS_TIMES_MAX multiples.
+ *   LC_RELAYS_FAN_OUT for each multiple of the thinnest link's bandwidth, up to
+ *   LC_RELAYS_RATIO_MAX multiples.
  *
  * HOW TO USE IT
  *     n = lc_relays_list (&view, dc, relays);              0: no relays, all are direct
@@ -34,12 +34,12 @@
 
   enum
   {
-    LC_RELAYS_ABOVE = 8, /* up to this many balancers all are direct */
+    LC_RELAYS_DIRECT_MAX = 8, /* up to this many balancers all are direct */
     LC_RELAYS_MIN = 3,
     LC_RELAYS_MAX = 24,
-    LC_RELAYS_BALANCERS = 20, /* per relay: keeps it below the control allowance */
-    LC_RELAYS_WIDE_MIN = 2,   /* with wide links: a balancer below uses two relays */
-    LC_RELAYS_TIMES_MAX = 8,  /* beyond that the processor is the limit */
+    LC_RELAYS_FAN_OUT = 20,  /* per relay: keeps it below the control allowance */
+    LC_RELAYS_WIDE_MIN = 2,  /* with wide links: a balancer below uses two relays */
+    LC_RELAYS_RATIO_MAX = 8, /* beyond that the processor is the limit */
   };
 
   uint32_t lc_relays_list (const LcView *view, LcDcId dc, const LcBalancer *out[LC_RELAYS_MAX]);
--- a/src/core/member/lc-scope.c
+++ b/src/core/member/lc-scope.c
@@ -14,7 +14,7 @@
 
 /* A service that is removed and opened again under the same name has a new id. */
 static bool
-lc_scope__wants_service (LcScope *scope, const LcService *service)
+lc_scope__includes_service (LcScope *scope, const LcService *service)
 {
   if (strcmp (service->name, scope->service) == 0)
     scope->service_id = service->id;
@@ -24,27 +24,27 @@
 /* An agent needs only the addresses of its service that restrict where flows may go.  The operation
  * that removes homes still names them, so it passes. */
 static bool
-lc_scope__wants_address (const LcScope *scope, const LcAddress *address)
+lc_scope__includes_address (const LcScope *scope, const LcAddress *address)
 {
   return address->service_id == scope->service_id && address->homes[0] != '\0';
 }
 
 static void
-lc_scope__learn_dc (LcScope *scope, const LcDataCentre *dc)
+lc_scope__update_dc (LcScope *scope, const LcDataCentre *dc)
 {
   if (strcmp (dc->name, scope->data_centre) == 0)
     scope->dc_id = dc->id;
 }
 
 bool
-lc_scope_wants (LcScope *scope, const LcViewOp *op)
+lc_scope_includes (LcScope *scope, const LcViewOp *op)
 {
   if (!scope->is_scoped)
     return true;
   switch (op->kind)
     {
     case LC_VIEW_DC:
-      lc_scope__learn_dc (scope, &op->dc);
+      lc_scope__update_dc (scope, &op->dc);
       return true;
     case LC_VIEW_SETTLED:
     case LC_VIEW_BALANCER_REMOVED: /* carries the id alone */
@@ -53,7 +53,7 @@
       return op->balancer.dc == scope->dc_id;
     case LC_VIEW_SERVICE:
     case LC_VIEW_SERVICE_MEMBERS:
-      return lc_scope__wants_service (scope, &op->service);
+      return lc_scope__includes_service (scope, &op->service);
     case LC_VIEW_SERVICE_REMOVED:
       return op->service.id == scope->service_id;
     case LC_VIEW_ENDPOINT:
@@ -63,7 +63,7 @@
       return op->former.service_id == scope->service_id;
     case LC_VIEW_ADDRESS:
     case LC_VIEW_ADDRESS_REMOVED:
-      return lc_scope__wants_address (scope, &op->address);
+      return lc_scope__includes_address (scope, &op->address);
     case LC_VIEW_ROUTE:
     case LC_VIEW_ROUTE_REMOVED:
       return false;
@@ -72,7 +72,7 @@
 }
 
 static void
-lc_scope__balancers (const LcScope *scope, const LcView *view, LcViewEach each, void *user)
+lc_scope__each_balancer (const LcScope *scope, const LcView *view, LcViewEach each, void *user)
 {
   LcViewOp op = { .revision = view->revision, .kind = LC_VIEW_BALANCER };
 
@@ -88,7 +88,7 @@
 }
 
 static void
-lc_scope__addresses (const LcScope *scope, const LcView *view, LcViewEach each, void *user)
+lc_scope__each_address (const LcScope *scope, const LcView *view, LcViewEach each, void *user)
 {
   LcViewOp op = { .revision = view->revision, .kind = LC_VIEW_ADDRESS };
   GHashTableIter iter;
@@ -98,7 +98,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       op.address = *(const LcAddress *)value;
-      if (lc_scope__wants_address (scope, &op.address))
+      if (lc_scope__includes_address (scope, &op.address))
         each (user, &op);
     }
 }
@@ -114,11 +114,11 @@
       return;
     }
   lc_view_snapshot_dcs (view, each, user);
-  lc_scope__balancers (scope, view, each, user);
+  lc_scope__each_balancer (scope, view, each, user);
   s = lc_view_service (view, scope->service_id);
   if (s != NULL)
     lc_view_snapshot_service (view, s, each, user);
-  lc_scope__addresses (scope, view, each, user);
+  lc_scope__each_address (scope, view, each, user);
 }
 
 static size_t
--- a/src/core/member/lc-scope.h
+++ b/src/core/member/lc-scope.h
@@ -9,7 +9,7 @@
  * HOW TO USE IT
  *     LcScope scope = { .is_scoped = true, .service = "order-desk", .data_centre = "hall-atl" };
  *     lc_scope_resolve (&scope, &view);       names to ids, before anything is sent
- *     if (lc_scope_wants (&scope, &op)) ...   in order, as operations may update the ids
+ *     if (lc_scope_includes (&scope, &op)) ...   in order, as operations may update the ids
  *     lc_scope_snapshot (&scope, &view, each, user);
  *
  * LIFETIME
@@ -35,7 +35,7 @@
   } LcScope;
 
   void lc_scope_resolve (LcScope *scope, const LcView *view);
-  bool lc_scope_wants (LcScope *scope, const LcViewOp *op);
+  bool lc_scope_includes (LcScope *scope, const LcViewOp *op);
   void lc_scope_snapshot (const LcScope *scope, const LcView *view, LcViewEach each, void *user);
   /* Size of a snapshot in operations, to compare it with a delta. */
   size_t lc_scope_snapshot_ops (const LcScope *scope, const LcView *view);
--- a/src/core/member/lc-settle.c
+++ b/src/core/member/lc-settle.c
@@ -17,7 +17,7 @@
 }
 
 static uint32_t
-lc_settle__live_balancers (const LcView *view)
+lc_settle__count_live_balancers (const LcView *view)
 {
   uint32_t n = 0;
 
@@ -27,7 +27,7 @@
 }
 
 static uint32_t
-lc_settle__live_endpoints (const LcView *view)
+lc_settle__count_live_endpoints (const LcView *view)
 {
   GHashTableIter iter;
   gpointer value;
@@ -69,8 +69,8 @@
 
   if (settled <= view->settled_revision || !lc_settle__is_useful (view, settled))
     return 0;
-  if (settle->fold.n_balancers < lc_settle__live_balancers (view) ||
-      settle->fold.n_agents + n_exempt < lc_settle__live_endpoints (view))
+  if (settle->fold.n_balancers < lc_settle__count_live_balancers (view) ||
+      settle->fold.n_agents + n_exempt < lc_settle__count_live_endpoints (view))
     return 0;
   return settled;
 }
--- a/src/core/member/lc-settle.h
+++ b/src/core/member/lc-settle.h
@@ -35,7 +35,7 @@
   void lc_settle_begin (LcSettle *settle);
   void
   lc_settle_add (LcSettle *settle, const LcView *view, const char *balancer, const LcFold *fold);
-  /* `n_exempt` endpoints may be missing: those of lc_guard_n_excused. */
+  /* `n_exempt` endpoints may be missing: those of lc_loss_guard_count_exempt. */
   LcRevision lc_settle_end (const LcSettle *settle, const LcView *view, uint32_t n_exempt);
 
 #ifdef __cplusplus
--- a/src/core/member/lc-staleness.c
+++ b/src/core/member/lc-staleness.c
@@ -8,7 +8,7 @@
   s->newest = MAX (s->newest, revision);
 }
 
-LcStalenessNews
+LcStalenessChange
 lc_staleness_check (LcStaleness *s, LcRevision own, int64_t now_us)
 {
   bool was_stale = s->is_stale;
@@ -23,7 +23,7 @@
       s->missing = s->newest;
       s->missing_since_us = now_us;
     }
-  s->is_stale = s->missing != 0 && now_us - s->missing_since_us >= LC_STALENESS_US;
+  s->is_stale = s->missing != 0 && now_us - s->missing_since_us >= LC_STALENESS_LIMIT_US;
   if (s->is_stale == was_stale)
     return LC_STALENESS_SAME;
   return s->is_stale ? LC_STALENESS_BEGINS : LC_STALENESS_ENDS;
--- a/src/core/member/lc-staleness.h
+++ b/src/core/member/lc-staleness.h
@@ -3,7 +3,7 @@
  * WHAT IT IS
  *   Upstreams report their revision, and so does each packet and message of a peer.  A member that
  *   is slightly behind is normal: updates take tens of milliseconds.  A view that lacks a revision
- *   reported LC_STALENESS_US ago is stale: its upstream may get no updates and not notice it.
+ *   reported LC_STALENESS_LIMIT_US ago is stale: its upstream may get no updates and not notice it.
  *   The member then looks for another upstream (views stayed stale for up to 28 s while links were
  *   up, 92 times in a day of 300 VMs whose control was partitioned for 5 s).
  *
@@ -30,14 +30,14 @@
 
 /* Ten times the delay of an update through control, relay and balancer, and longer than the second
  * after which a source that lags behind another is left anyway. */
-#define LC_STALENESS_US (3 * LC_US_PER_S / 2)
+#define LC_STALENESS_LIMIT_US (3 * LC_US_PER_S / 2)
 
   typedef enum
   {
     LC_STALENESS_SAME = 0,
     LC_STALENESS_BEGINS = 1,
     LC_STALENESS_ENDS = 2,
-  } LcStalenessNews;
+  } LcStalenessChange;
 
   typedef struct
   {
@@ -48,7 +48,7 @@
   } LcStaleness;
 
   void lc_staleness_note (LcStaleness *staleness, LcRevision revision);
-  LcStalenessNews lc_staleness_check (LcStaleness *staleness, LcRevision own, int64_t now_us);
+  LcStalenessChange lc_staleness_check (LcStaleness *staleness, LcRevision own, int64_t now_us);
   /* Whether this member is stale, and a source at this revision would leave it stale. */
   bool lc_staleness_lacks (const LcStaleness *staleness, LcRevision revision);
   /* How long it has lacked a revision; 0 when it lacks none. */
--- a/src/core/member/lc-view-sync.c
+++ b/src/core/member/lc-view-sync.c
@@ -50,11 +50,11 @@
 {
   sync->needs_snapshot = true;
   sync->failed_total++;
-  return LC_SYNC_ASK;
+  return LC_SYNC_RESUBSCRIBE;
 }
 
 static size_t
-lc_view_sync__n_known (const LcViewSync *sync, const LcViewOp *ops, size_t n_ops)
+lc_view_sync__count_old (const LcViewSync *sync, const LcViewOp *ops, size_t n_ops)
 {
   size_t n = 0;
 
@@ -85,7 +85,7 @@
 
 /* A first part restarts staging, unless a newer snapshot of another source is being staged. */
 static bool
-lc_view_sync__begin (LcViewSync *sync, uint32_t source, LcRevision revision)
+lc_view_sync__begin_staging (LcViewSync *sync, uint32_t source, LcRevision revision)
 {
   if (sync->staged_revision > revision && sync->staged_source != source)
     return false;
@@ -126,9 +126,9 @@
   if (from > view->revision || sync->needs_snapshot || view->revision == 0)
     {
       sync->gaps_total++;
-      return LC_SYNC_ASK;
+      return LC_SYNC_RESUBSCRIBE;
     }
-  sync->n_skipped = lc_view_sync__n_known (sync, ops, n_ops);
+  sync->n_skipped = lc_view_sync__count_old (sync, ops, n_ops);
   for (size_t i = sync->n_skipped; i < n_ops; i++)
     if (lc_view_apply (view, &ops[i], error) < 0)
       return lc_view_sync__fail (sync);
@@ -152,7 +152,7 @@
         lc_view_sync__drop_staged (sync);
       return lc_view_sync__ignore (sync);
     }
-  if (part == 0 && !lc_view_sync__begin (sync, source, revision))
+  if (part == 0 && !lc_view_sync__begin_staging (sync, source, revision))
     return lc_view_sync__ignore (sync);
   if (!lc_view_sync__is_next (sync, source, revision, part))
     return lc_view_sync__ignore (sync);
@@ -161,13 +161,13 @@
       {
         lc_view_sync__drop_staged (sync);
         sync->failed_total++;
-        return LC_SYNC_ASK;
+        return LC_SYNC_RESUBSCRIBE;
       }
   sync->next_part++;
   if (!is_last)
     return LC_SYNC_STAGED;
   lc_view_sync__swap (sync);
-  return LC_SYNC_RESET;
+  return LC_SYNC_REPLACED;
 }
 
 bool
--- a/src/core/member/lc-view-sync.h
+++ b/src/core/member/lc-view-sync.h
@@ -15,9 +15,9 @@
  *     switch (lc_view_sync_delta (&sync, from, to, ops, n_ops, &error))
  *       case LC_SYNC_APPLIED: ... sync.view has moved; the first sync.n_skipped of ops were old ...
  *       case LC_SYNC_IGNORED: ... nothing to do ...
- *       case LC_SYNC_ASK:     ... send a subscription from lc_view_sync_from (&sync) ...
+ *       case LC_SYNC_RESUBSCRIBE:     ... send a subscription from lc_view_sync_from (&sync) ...
  *     switch (lc_view_sync_part (&sync, source, revision, part, is_last, ops, n_ops, &error))
- *       case LC_SYNC_RESET:   ... a snapshot has replaced the view ...
+ *       case LC_SYNC_REPLACED:   ... a snapshot has replaced the view ...
  *     lc_view_sync_finish (&sync);
  *
  * LIFETIME
@@ -38,8 +38,8 @@
     LC_SYNC_IGNORED,
     LC_SYNC_STAGED, /* a part was stored; the view has not changed */
     LC_SYNC_APPLIED,
-    LC_SYNC_RESET,
-    LC_SYNC_ASK,
+    LC_SYNC_REPLACED,
+    LC_SYNC_RESUBSCRIBE,
   } LcSyncResult;
 
   typedef struct
--- a/src/core/member/lc-watch.c
+++ b/src/core/member/lc-watch.c
@@ -12,7 +12,7 @@
 /* === public: lifetime ======================================================================= */
 
 static uint32_t
-lc_watch__or (uint32_t value, uint32_t fallback)
+lc_watch__or_default (uint32_t value, uint32_t fallback)
 {
   return value != 0 ? value : fallback;
 }
@@ -22,9 +22,9 @@
 {
   memset (watch, 0, sizeof *watch);
   watch->desc = *desc;
-  watch->desc.lease_ms = lc_watch__or (desc->lease_ms, LC_WATCH_LEASE_MS);
-  watch->desc.resend_ms = lc_watch__or (desc->resend_ms, LC_WATCH_RESEND_MS);
-  watch->desc.suspect_ms = lc_watch__or (desc->suspect_ms, LC_WATCH_SUSPECT_MS);
+  watch->desc.lease_ms = lc_watch__or_default (desc->lease_ms, LC_WATCH_LEASE_MS);
+  watch->desc.resend_ms = lc_watch__or_default (desc->resend_ms, LC_WATCH_RESEND_MS);
+  watch->desc.suspect_ms = lc_watch__or_default (desc->suspect_ms, LC_WATCH_SUSPECT_MS);
   if (desc->suspect_ms == UINT32_MAX)
     watch->desc.suspect_ms = 0;
   lc_lease_table_init (&watch->leases, (int64_t)watch->desc.lease_ms * LC_US_PER_MS);
@@ -129,7 +129,7 @@
 /* === public: announcements and renewals ===================================================== */
 
 static void
-lc_watch__forget (LcWatch *watch, LcLease *lease)
+lc_watch__drop (LcWatch *watch, LcLease *lease)
 {
   (void)g_ptr_array_remove_fast (watch->suspects, lease);
   lc_lease_remove (&watch->leases, lease);
@@ -146,7 +146,7 @@
       lc_member_change_instance (&known->member) != lc_member_change_instance (announced);
 
   if (known->state == LC_LEASE_LOST || (is_other && !lc_watch__is_leaving (known)))
-    lc_flap_note (&watch->flap, lc_member_change_name (announced), now_us);
+    lc_flap_record_return (&watch->flap, lc_member_change_name (announced), now_us);
 }
 
 void
@@ -179,7 +179,7 @@
     return false;
   if (phase == LC_MEMBER_PHASE_MOVED)
     {
-      lc_watch__forget (watch, lease);
+      lc_watch__drop (watch, lease);
       return true;
     }
   if (lease->state == LC_LEASE_SUSPECT)
@@ -216,7 +216,7 @@
 /* === public: expiry ========================================================================= */
 
 static void
-lc_watch__ripen_suspects (LcWatch *watch, int64_t now_us)
+lc_watch__expire_suspects (LcWatch *watch, int64_t now_us)
 {
   for (guint i = 0; i < watch->suspects->len; i++)
     {
@@ -243,19 +243,19 @@
       g_ptr_array_add (watch->suspects, lease);
       out[n++] = lease;
     }
-  lc_watch__ripen_suspects (watch, now_us);
+  lc_watch__expire_suspects (watch, now_us);
   return n;
 }
 
 void
-lc_watch_vouch (LcWatch *watch, const char *name, LcInstance instance)
+lc_watch_confirm_elsewhere (LcWatch *watch, const char *name, LcInstance instance)
 {
   LcLease *lease = lc_lease_find (&watch->leases, name);
 
   if (lease == NULL || lease->state == LC_LEASE_HELD ||
       lc_member_change_instance (&lease->member) != instance)
     return;
-  lc_watch__forget (watch, lease);
+  lc_watch__drop (watch, lease);
 }
 
 /* === public: reports ======================================================================== */
@@ -336,12 +336,12 @@
     if (!lc_watch__collect_one (watch, value, view, now_us, report, user))
       g_ptr_array_add (watch->finished, value);
   for (guint i = 0; i < watch->finished->len; i++)
-    lc_watch__forget (watch, g_ptr_array_index (watch->finished, i));
+    lc_watch__drop (watch, g_ptr_array_index (watch->finished, i));
   g_ptr_array_set_size (watch->finished, 0);
 }
 
 void
-lc_watch_report_again (LcWatch *watch)
+lc_watch_resend_all (LcWatch *watch)
 {
   GHashTableIter iter;
   gpointer value;
--- a/src/core/member/lc-watch.h
+++ b/src/core/member/lc-watch.h
@@ -12,7 +12,7 @@
  *     lc_watch_announce (&watch, &change, now_us);
  *     lc_watch_renew (&watch, name, instance, phase, is_ramped, &fold, now_us);
  *     n = lc_watch_expire (&watch, now_us, suspects, max);      ask the other watchers for these
- *     lc_watch_vouch (&watch, name, instance);                  one of them holds it
+ *     lc_watch_confirm_elsewhere (&watch, name, instance);                  one of them holds it
  *     lc_watch_collect (&watch, &view, now_us, report, user);   what to send upstream now
  *     lc_watch_finish (&watch);
  *
@@ -71,13 +71,13 @@
   /* Moves expired leases to suspect and fills `out` with at most `max` new suspects. */
   size_t lc_watch_expire (LcWatch *watch, int64_t now_us, LcLease **out, size_t max);
   /* Drops an expired lease that another watcher holds. */
-  void lc_watch_vouch (LcWatch *watch, const char *name, LcInstance instance);
+  void lc_watch_confirm_elsewhere (LcWatch *watch, const char *name, LcInstance instance);
   /* Whether this watcher holds a live lease that the member itself announced. */
   bool lc_watch_holds (const LcWatch *watch, const char *name, LcInstance instance);
   void lc_watch_collect (
       LcWatch *watch, const LcView *view, int64_t now_us, LcWatchReport report, void *user);
   /* Makes each transition that the view lacks due at once, after earlier reports got lost. */
-  void lc_watch_report_again (LcWatch *watch);
+  void lc_watch_resend_all (LcWatch *watch);
   /* Folds the acknowledgements of every live lease; `newest` is this process's revision. */
   void lc_watch_fold (const LcWatch *watch, LcRevision newest, LcFold *fold);
 
--- a/src/core/request/lc-admission.c
+++ b/src/core/request/lc-admission.c
@@ -30,7 +30,7 @@
 }
 
 static uint32_t
-lc_admission__place (const LcAdmission *a, int64_t deadline_us)
+lc_admission__find_position (const LcAdmission *a, int64_t deadline_us)
 {
   uint32_t at = a->n_queued;
 
@@ -55,7 +55,7 @@
 }
 
 static void
-lc_admission__cut (LcAdmission *a, int64_t now_us)
+lc_admission__cut_limit (LcAdmission *a, int64_t now_us)
 {
   if (now_us - a->last_cut_us < a->service_us)
     return;
@@ -67,7 +67,7 @@
 }
 
 static void
-lc_admission__grow (LcAdmission *a)
+lc_admission__grow_limit (LcAdmission *a)
 {
   a->ok_since_cut++;
   if (a->ok_since_cut < a->limit || a->limit >= a->desc.slots)
@@ -112,7 +112,7 @@
       a->running++;
       return LC_ADMISSION_START;
     }
-  at = lc_admission__place (a, deadline_us);
+  at = lc_admission__find_position (a, deadline_us);
   if (now_us + lc_admission__end_us (a, at) > deadline_us)
     return LC_ADMISSION_TOO_LATE;
   if (a->n_queued >= a->desc.queue_max)
@@ -140,7 +140,10 @@
 }
 
 void
-lc_admission_end (LcAdmission *admission, LcRunEnd result, int64_t started_us, int64_t now_us)
+lc_admission_end_run (LcAdmission *admission,
+                      LcRunResult result,
+                      int64_t started_us,
+                      int64_t now_us)
 {
   int64_t took_us = now_us > started_us ? now_us - started_us : 0;
 
@@ -149,19 +152,19 @@
   if (result == LC_RUN_OK)
     {
       admission->service_us += (took_us - admission->service_us) / LC_ADMISSION_SMOOTHING;
-      lc_admission__grow (admission);
+      lc_admission__grow_limit (admission);
     }
   if (result == LC_RUN_SHED)
-    lc_admission__cut (admission, now_us);
+    lc_admission__cut_limit (admission, now_us);
 }
 
 bool
-lc_admission_next (LcAdmission *admission, int64_t now_us, uint64_t *ticket)
+lc_admission_start_next (LcAdmission *admission, int64_t now_us, uint64_t *ticket)
 {
   if (admission->n_queued == 0 || admission->running >= admission->limit)
     return false;
   if (admission->queue[0].deadline_us <= now_us)
-    return false; /* left to lc_admission_expire */
+    return false; /* left to lc_admission_pop_expired */
   *ticket = admission->queue[0].ticket;
   lc_admission__remove (admission, 0);
   admission->running++;
@@ -169,7 +172,7 @@
 }
 
 bool
-lc_admission_expire (LcAdmission *admission, int64_t now_us, uint64_t *ticket)
+lc_admission_pop_expired (LcAdmission *admission, int64_t now_us, uint64_t *ticket)
 {
   if (admission->n_queued == 0 || admission->queue[0].deadline_us > now_us)
     return false;
--- a/src/core/request/lc-admission.h
+++ b/src/core/request/lc-admission.h
@@ -10,10 +10,10 @@
  * HOW TO USE IT
  *     lc_admission_init (&admission, &(LcAdmissionDesc){ .slots = 4 });
  *     r = lc_admission_submit (&admission, ticket, deadline_us, now_us, &retry_after_us);
- *     LC_ADMISSION_START: run it now; QUEUED: lc_admission_next pops it later; else refused
- *     lc_admission_end (&admission, result, started_us, now_us);   a run has ended
- *     while (lc_admission_next (&admission, now_us, &ticket)) start (ticket);
- *     while (lc_admission_expire (&admission, now_us, &ticket)) refuse (ticket);
+ *     LC_ADMISSION_START: run it now; QUEUED: lc_admission_start_next pops it later; else refused
+ *     lc_admission_end_run (&admission, result, started_us, now_us);   a run has ended
+ *     while (lc_admission_start_next (&admission, now_us, &ticket)) start (ticket);
+ *     while (lc_admission_pop_expired (&admission, now_us, &ticket)) refuse (ticket);
  *
  * LIFETIME
  *   Owns its queue.  Tickets are ids chosen by the caller.
@@ -47,7 +47,7 @@
     LC_RUN_BROKEN = 3,    /* the connection failed or the answer was cut short */
     LC_RUN_CANCELLED = 4, /* by this agent */
     LC_RUN_NOT_SENT = 5,  /* no connection to the backend server */
-  } LcRunEnd;
+  } LcRunResult;
 
   enum
   {
@@ -94,14 +94,16 @@
   /* Removes a queued request; false when it is not queued. */
   bool lc_admission_withdraw (LcAdmission *admission, uint64_t ticket);
 
-  void
-  lc_admission_end (LcAdmission *admission, LcRunEnd result, int64_t started_us, int64_t now_us);
+  void lc_admission_end_run (LcAdmission *admission,
+                             LcRunResult result,
+                             int64_t started_us,
+                             int64_t now_us);
 
   /* Pops the next request to start, if a slot is free; it counts as running from then on. */
-  bool lc_admission_next (LcAdmission *admission, int64_t now_us, uint64_t *ticket);
+  bool lc_admission_start_next (LcAdmission *admission, int64_t now_us, uint64_t *ticket);
 
   /* Pops a queued request that is past its deadline. */
-  bool lc_admission_expire (LcAdmission *admission, int64_t now_us, uint64_t *ticket);
+  bool lc_admission_pop_expired (LcAdmission *admission, int64_t now_us, uint64_t *ticket);
 
   /* Refuses new requests; queued ones still run. */
   void lc_admission_close (LcAdmission *admission);
--- a/src/core/request/lc-attempt.h
+++ b/src/core/request/lc-attempts.h
@@ -1,4 +1,4 @@
-/* lc-attempt: the state machine of one request's attempts at a balancer.
+/* lc-attempts: the state machine of one request's attempts at a balancer.
  *
  * WHAT IT IS
  *   The state of each attempt, and the next step after each event.  It decides which answer belongs
@@ -6,12 +6,12 @@
  *   without one: "not run" only if every attempt has certainly not run.
  *
  * HOW TO USE IT
- *     lc_attempt_init (&attempt, &(LcAttemptDesc){ .id = id, .deadline_us = deadline_us });
- *     n = lc_attempt_begin (&attempt, target, link_id);            before sending it
- *     step = lc_attempt_refused (&attempt, link_id, n, &refusal);
+ *     lc_attempts_init (&attempt, &(LcAttemptsDesc){ .id = id, .deadline_us = deadline_us });
+ *     n = lc_attempts_begin (&attempt, target, link_id);            before sending it
+ *     step = lc_attempts_handle_refusal (&attempt, link_id, n, &refusal);
  *     switch (step.kind)
- *       RETRY: begin another attempt if the budget allows, else lc_attempt_give_up
- *       OWNER: begin an attempt at step.owner, else lc_attempt_give_up
+ *       RETRY: begin another attempt if the budget allows, else lc_attempts_give_up
+ *       OWNER: begin an attempt at step.owner, else lc_attempts_give_up
  *       FINISH: report step.outcome and step.reason to the caller
  *
  * RULES
@@ -24,8 +24,8 @@
  * LIFETIME
  *   A plain value.
  */
-#ifndef LC_ATTEMPT_H
-#define LC_ATTEMPT_H
+#ifndef LC_ATTEMPTS_H
+#define LC_ATTEMPTS_H
 
 #include "lc-outcome.h"
 #include "lc-request-id.h"
@@ -37,7 +37,7 @@
 
   enum
   {
-    LC_ATTEMPT_MAX = 6, /* attempts of one request, with hedges and retries */
+    LC_ATTEMPTS_MAX = 6, /* attempts of one request, with hedges and retries */
   };
 
   typedef enum
@@ -53,7 +53,7 @@
     LcMemberRef target;
     uint64_t link_id;
     uint8_t state; /* LcAttemptState */
-  } LcAttemptOne;
+  } LcAttempt;
 
   typedef struct
   {
@@ -61,17 +61,17 @@
     LcRequestKey key;   /* none for idempotent requests */
     bool is_caller_key; /* chosen by the caller, so there may be other copies */
     int64_t deadline_us;
-  } LcAttemptDesc;
+  } LcAttemptsDesc;
 
   typedef struct
   {
-    LcAttemptDesc desc;
-    LcAttemptOne attempts[LC_ATTEMPT_MAX]; /* attempt n is attempts[n - 1] */
+    LcAttemptsDesc desc;
+    LcAttempt attempts[LC_ATTEMPTS_MAX]; /* attempt n is attempts[n - 1] */
     uint8_t n_attempts;
     uint8_t n_owner_steps;
     bool is_claimed; /* as in the newest refusal */
     bool is_finished;
-  } LcAttempt;
+  } LcAttempts;
 
   typedef struct
   {
@@ -84,7 +84,7 @@
   {
     LC_STEP_NONE = 0,
     LC_STEP_RETRY = 1,
-    LC_STEP_OWNER = 2,
+    LC_STEP_TRY_OWNER = 2,
     LC_STEP_FINISH = 3,
     LC_STEP_ANSWER = 4,
   } LcStepKind;
@@ -97,35 +97,36 @@
     LcMemberRef owner; /* OWNER */
   } LcStep;
 
-  void lc_attempt_init (LcAttempt *attempt, const LcAttemptDesc *desc);
+  void lc_attempts_init (LcAttempts *attempt, const LcAttemptsDesc *desc);
 
-  /* The number of the new attempt, from 1; 0 when the request is finished or at LC_ATTEMPT_MAX. */
-  uint32_t lc_attempt_begin (LcAttempt *attempt, LcMemberRef target, uint64_t link_id);
+  /* The number of the new attempt, from 1; 0 when the request is finished or at LC_ATTEMPTS_MAX. */
+  uint32_t lc_attempts_begin (LcAttempts *attempt, LcMemberRef target, uint64_t link_id);
 
   /* The attempt could not be sent. */
-  LcStep lc_attempt_unsent (LcAttempt *attempt, uint32_t number);
+  LcStep lc_attempts_handle_send_failure (LcAttempts *attempt, uint32_t number);
 
   /* Handles an answer; LC_STEP_ANSWER when it is whole and belongs to this request. */
-  LcStep lc_attempt_answered (LcAttempt *attempt, uint64_t link_id, uint32_t number, bool is_whole);
+  LcStep
+  lc_attempts_handle_answer (LcAttempts *attempt, uint64_t link_id, uint32_t number, bool is_whole);
 
-  LcStep lc_attempt_refused (LcAttempt *attempt,
-                             uint64_t link_id,
-                             uint32_t number,
-                             const LcRefusal *refusal);
+  LcStep lc_attempts_handle_refusal (LcAttempts *attempt,
+                                     uint64_t link_id,
+                                     uint32_t number,
+                                     const LcRefusal *refusal);
 
   /* Open attempts on a lost link have an unknown outcome. */
-  LcStep lc_attempt_link_down (LcAttempt *attempt, uint64_t link_id);
+  LcStep lc_attempts_handle_link_down (LcAttempts *attempt, uint64_t link_id);
 
   /* Finishes the request: deadline, no retry budget, no endpoint. */
-  LcStep lc_attempt_give_up (LcAttempt *attempt, LcRefuseReason reason);
+  LcStep lc_attempts_give_up (LcAttempts *attempt, LcRefuseReason reason);
 
-  uint32_t lc_attempt_n_open (const LcAttempt *attempt);
+  uint32_t lc_attempts_count_open (const LcAttempts *attempt);
 
   /* Whether an attempt was sent to this instance. */
-  bool lc_attempt_has_tried (const LcAttempt *attempt, LcInstance instance);
+  bool lc_attempts_has_tried (const LcAttempts *attempt, LcInstance instance);
 
 #ifdef __cplusplus
 }
 #endif
 
-#endif /* LC_ATTEMPT_H */
+#endif /* LC_ATTEMPTS_H */
--- a/src/core/request/lc-claim-homes.c
+++ b/src/core/request/lc-claim-homes.c
@@ -3,7 +3,7 @@
 #include <xxhash.h>
 
 static uint64_t
-lc_claim_homes__score (LcRequestKey key, LcEndpointId id)
+lc_claim_homes__score_member (LcRequestKey key, LcEndpointId id)
 {
   return XXH3_64bits_withSeed (&id, sizeof id, key.hi ^ key.lo);
 }
@@ -19,7 +19,7 @@
 
   for (uint32_t i = 0; i < n_members; i++)
     {
-      uint64_t score = lc_claim_homes__score (key, members[i].id);
+      uint64_t score = lc_claim_homes__score_member (key, members[i].id);
       uint32_t at = n;
 
       while (at > 0 && scores[at - 1] < score)
--- a/src/core/request/lc-claim-store.c
+++ b/src/core/request/lc-claim-store.c
@@ -14,7 +14,7 @@
 } LcClaimExpiry;
 
 static void
-lc_claim_store__note_expiry (LcClaimStore *store, const LcClaimHold *hold)
+lc_claim_store__queue_expiry (LcClaimStore *store, const LcClaimRecord *hold)
 {
   LcClaimExpiry *expiry = g_new (LcClaimExpiry, 1);
 
@@ -60,22 +60,22 @@
   g_queue_clear_full (&store->expiries, g_free);
 }
 
-static LcClaimHold *
+static LcClaimRecord *
 lc_claim_store__find (const LcClaimStore *store, LcRequestKey key, int64_t now_us)
 {
-  LcClaimHold *hold = g_hash_table_lookup (store->holds, &key);
+  LcClaimRecord *hold = g_hash_table_lookup (store->holds, &key);
 
   return hold != NULL && hold->expires_us > now_us ? hold : NULL;
 }
 
-static LcClaimHold *
-lc_claim_store__add (LcClaimStore *store, const LcClaimHold *hold)
+static LcClaimRecord *
+lc_claim_store__add (LcClaimStore *store, const LcClaimRecord *hold)
 {
-  LcClaimHold *owned = g_new (LcClaimHold, 1);
+  LcClaimRecord *owned = g_new (LcClaimRecord, 1);
 
   *owned = *hold;
   g_hash_table_replace (store->holds, &owned->key, owned);
-  lc_claim_store__note_expiry (store, owned);
+  lc_claim_store__queue_expiry (store, owned);
   return owned;
 }
 
@@ -86,10 +86,10 @@
                       uint64_t sequence,
                       int64_t keep_us,
                       int64_t now_us,
-                      LcClaimHold *hold)
+                      LcClaimRecord *hold)
 {
-  LcClaimHold *held = lc_claim_store__find (store, key, now_us);
-  LcClaimHold wanted = { key, owner, sequence, now_us + keep_us };
+  LcClaimRecord *held = lc_claim_store__find (store, key, now_us);
+  LcClaimRecord wanted = { key, owner, sequence, now_us + keep_us };
 
   if (held == NULL)
     {
@@ -115,7 +115,7 @@
                         LcInstance owner_instance,
                         uint64_t sequence)
 {
-  const LcClaimHold *held = g_hash_table_lookup (store->holds, &key);
+  const LcClaimRecord *held = g_hash_table_lookup (store->holds, &key);
 
   if (held == NULL || held->owner.instance != owner_instance || held->sequence > sequence)
     return false;
@@ -125,16 +125,16 @@
 /* Two members may hold different owners of one key: of a claim that was not granted by all homes,
  * and of a later one that was.  This home can't tell them apart, so it grants the key to nobody. */
 static void
-lc_claim_store__contest (LcClaimHold *held)
+lc_claim_store__contest (LcClaimRecord *held)
 {
   held->owner = (LcMemberRef){ 0 };
   held->sequence = UINT64_MAX;
 }
 
 void
-lc_claim_store_merge (LcClaimStore *store, const LcClaimHold *hold)
+lc_claim_store_merge (LcClaimStore *store, const LcClaimRecord *hold)
 {
-  LcClaimHold *held = g_hash_table_lookup (store->holds, &hold->key);
+  LcClaimRecord *held = g_hash_table_lookup (store->holds, &hold->key);
 
   if (held == NULL)
     {
@@ -149,7 +149,7 @@
 }
 
 void
-lc_claim_store_put (LcClaimStore *store, const LcClaimHold *hold)
+lc_claim_store_replace (LcClaimStore *store, const LcClaimRecord *hold)
 {
   if (hold->expires_us == 0)
     g_hash_table_remove (store->holds, &hold->key);
@@ -157,7 +157,7 @@
     (void)lc_claim_store__add (store, hold);
 }
 
-const LcClaimHold *
+const LcClaimRecord *
 lc_claim_store_find (const LcClaimStore *store, LcRequestKey key, int64_t now_us)
 {
   return lc_claim_store__find (store, key, now_us);
@@ -172,10 +172,10 @@
   while ((first = g_queue_peek_head (&store->expiries)) != NULL && first->expires_us <= now_us)
     {
       LcClaimExpiry *expiry = g_queue_pop_head (&store->expiries);
-      const LcClaimHold *hold = g_hash_table_lookup (store->holds, &expiry->key);
+      const LcClaimRecord *hold = g_hash_table_lookup (store->holds, &expiry->key);
 
       if (hold != NULL && hold->expires_us > now_us)
-        lc_claim_store__note_expiry (store, hold);
+        lc_claim_store__queue_expiry (store, hold);
       else if (hold != NULL)
         {
           g_hash_table_remove (store->holds, &expiry->key);
--- a/src/core/request/lc-claim-store.h
+++ b/src/core/request/lc-claim-store.h
@@ -10,7 +10,7 @@
  *     r = lc_claim_store_claim (&store, key, owner, sequence, keep_us, now_us, &hold);
  *     lc_claim_store_expire (&store, now_us);             about once a second
  *     lc_claim_store_finish (&store);
- *   lc-claim-era decides whether this home may grant claims at all.
+ *   lc-claim-sync decides whether this home may grant claims at all.
  *
  * LIMITS
  *   At most desc.max_claims; a full store refuses new claims (LC_CLAIM_FULL) and never drops one
@@ -46,7 +46,7 @@
     LcMemberRef owner; /* none: contested */
     uint64_t sequence;
     int64_t expires_us;
-  } LcClaimHold;
+  } LcClaimRecord;
 
   typedef struct
   {
@@ -56,7 +56,7 @@
   typedef struct
   {
     LcClaimStoreDesc desc;
-    GHashTable *holds; /* LcClaimHold, hashed by its key */
+    GHashTable *holds; /* LcClaimRecord, hashed by its key */
     GQueue expiries;   /* private: a key and an expiry for each hold, roughly by time */
     uint64_t expired_total;
   } LcClaimStore;
@@ -71,7 +71,7 @@
                                       uint64_t sequence,
                                       int64_t keep_us,
                                       int64_t now_us,
-                                      LcClaimHold *hold);
+                                      LcClaimRecord *hold);
 
   /* Removes the claim if this owner holds it with this sequence or an older one. */
   bool lc_claim_store_release (LcClaimStore *store,
@@ -81,13 +81,13 @@
 
   /* Merges another member's record.  When the owners differ, the key is contested: its owner
    * becomes "none" and it is granted to nobody until it expires. */
-  void lc_claim_store_merge (LcClaimStore *store, const LcClaimHold *hold);
+  void lc_claim_store_merge (LcClaimStore *store, const LcClaimRecord *hold);
 
   /* Replaces the record of the key; expires_us 0 removes it. */
-  void lc_claim_store_put (LcClaimStore *store, const LcClaimHold *hold);
+  void lc_claim_store_replace (LcClaimStore *store, const LcClaimRecord *hold);
 
   /* NULL when the key is free. */
-  const LcClaimHold *
+  const LcClaimRecord *
   lc_claim_store_find (const LcClaimStore *store, LcRequestKey key, int64_t now_us);
 
   uint32_t lc_claim_store_expire (LcClaimStore *store, int64_t now_us);
--- a/src/core/request/lc-claim-era.h
+++ b/src/core/request/lc-claim-sync.h
@@ -1,4 +1,4 @@
-/* lc-claim-era: state transfer of claims when a service's membership changes.
+/* lc-claim-sync: state transfer of claims when a service's membership changes.
  *
  * WHAT IT IS
  *   An era is the time during which a service's candidate set does not change; its name is the
@@ -24,12 +24,12 @@
  *   claim needs them all and so was granted before that.
  *
  * HOW TO USE IT
- *     lc_claim_era_init (&sync, &(LcClaimEraDesc){ .self = me });
- *     lc_claim_era_set (&sync, lc_view_service (view, id), now_us); after each view change
- *     n = lc_claim_era_wanted (&sync, members, max);         members to read from, if any
- *     lc_claim_era_source (&sync, &source, now_us);                   a read has ended
- *     lc_claim_era_tick (&sync, now_us);                              regularly
- *     lc_claim_era_knows (&sync, key)                                 may a claim be granted?
+ *     lc_claim_sync_init (&sync, &(LcClaimSyncDesc){ .self = me });
+ *     lc_claim_sync_set_service (&sync, lc_view_service (view, id), now_us); after each view change
+ *     n = lc_claim_sync_missing (&sync, members, max);         members to read from, if any
+ *     lc_claim_sync_add_source (&sync, &source, now_us);                   a read has ended
+ *     lc_claim_sync_tick (&sync, now_us);                              regularly
+ *     lc_claim_sync_may_grant (&sync, key)                                 may a claim be granted?
  *
  * LIFETIME
  *   Owns its copies of the candidate sets.
@@ -38,13 +38,13 @@
  *   A step reads from every member: its messages grow with the square of a service's endpoints.
  *
  * AFTER A RESTART
- *   A process that has persisted its claims and its state (lc_claim_era_state) continues as its
+ *   A process that has persisted its claims and its state (lc_claim_sync_progress) continues as its
  *   earlier incarnations as well as the present one: it holds their claims, and they grant nothing
  *   more.  The caller makes sure that the resumed claims are complete and the earlier process has
  *   ended.
  */
-#ifndef LC_CLAIM_ERA_H
-#define LC_CLAIM_ERA_H
+#ifndef LC_CLAIM_SYNC_H
+#define LC_CLAIM_SYNC_H
 
 #include "core/lc-view.h"
 #include "lc-claim-homes.h"
@@ -58,7 +58,7 @@
   {
     LcMemberRef self;
     int64_t lost_after_us; /* 0: 65 s, five more than the longest deadline */
-  } LcClaimEraDesc;
+  } LcClaimSyncDesc;
 
   /* The members of one era. */
   typedef struct
@@ -67,76 +67,76 @@
     LcMemberRef *members; /* owned */
     uint32_t n_members;
     int64_t lost_us; /* when the view last lost one of them; 0: none is lost */
-  } LcClaimSet;
+  } LcClaimMembers;
 
   /* A live member that has reported that it waits for lost members until `until_us`. */
   typedef struct
   {
     LcMemberRef member;
     int64_t until_us;
-  } LcClaimStalled;
+  } LcClaimWaitingMember;
 
   enum
   {
-    LC_CLAIM_ERA_MAX_SELVES =
+    LC_CLAIM_SYNC_MAX_INCARNATIONS =
         16, /* restarts within the time that claims are kept; older ones are dropped */
   };
 
   /* What a process must persist besides its claims to resume after a restart. */
   typedef struct
   {
-    LcMemberRef incarnations[LC_CLAIM_ERA_MAX_SELVES]; /* the present one first */
+    LcMemberRef incarnations[LC_CLAIM_SYNC_MAX_INCARNATIONS]; /* the present one first */
     uint32_t n_incarnations;
-    LcRevision complete; /* as in LcClaimEra */
+    LcRevision complete; /* as in LcClaimSync */
     LcRevision complete_from;
-  } LcClaimEraState;
+  } LcClaimProgress;
 
   typedef struct
   {
-    LcClaimEraDesc desc;
-    LcMemberRef earlier[LC_CLAIM_ERA_MAX_SELVES]; /* incarnations before restarts */
+    LcClaimSyncDesc desc;
+    LcMemberRef earlier[LC_CLAIM_SYNC_MAX_INCARNATIONS]; /* incarnations before restarts */
     uint32_t n_earlier;
-    GArray *sets;             /* LcClaimSet, oldest first; the last is the present era */
+    GArray *sets;             /* LcClaimMembers, oldest first; the last is the present era */
     LcRevision complete;      /* newest era at which this agent is complete; 0: none */
     LcRevision complete_from; /* complete at every era since this one */
     GArray *alive;            /* LcMemberRef: members in the view that are not lost */
     GArray *sources;          /* LcMemberRef: members read from in the present step */
-    GArray *stalled;          /* LcClaimStalled, of the present step */
+    GArray *stalled;          /* LcClaimWaitingMember, of the present step */
     GArray *of_previous; /* gboolean for each source: of the previous set, else of the target */
     int64_t step_since_us;
     uint64_t lost_total;
-  } LcClaimEra;
+  } LcClaimSync;
 
-  void lc_claim_era_init (LcClaimEra *sync, const LcClaimEraDesc *desc);
-  void lc_claim_era_finish (LcClaimEra *sync);
+  void lc_claim_sync_init (LcClaimSync *sync, const LcClaimSyncDesc *desc);
+  void lc_claim_sync_finish (LcClaimSync *sync);
 
   /* Restores the state that an earlier process persisted; call it right after init. */
-  void lc_claim_era_resume (LcClaimEra *sync, const LcClaimEraState *state);
+  void lc_claim_sync_resume (LcClaimSync *sync, const LcClaimProgress *state);
 
   /* The state to persist for a restart. */
-  void lc_claim_era_state (const LcClaimEra *sync, LcClaimEraState *state);
-  bool lc_claim_era_state_equal (const LcClaimEraState *a, const LcClaimEraState *b);
+  void lc_claim_sync_progress (const LcClaimSync *sync, LcClaimProgress *state);
+  bool lc_claim_progress_equal (const LcClaimProgress *a, const LcClaimProgress *b);
 
   /* Sets the candidate sets of the newest view; `service` is NULL when it was removed. */
-  void lc_claim_era_set (LcClaimEra *sync, const LcService *service, int64_t now_us);
+  void lc_claim_sync_set_service (LcClaimSync *sync, const LcService *service, int64_t now_us);
 
   /* The revision of the present era; 0 before the first. */
-  LcRevision lc_claim_era_now (const LcClaimEra *sync);
+  LcRevision lc_claim_sync_present_era (const LcClaimSync *sync);
 
   /* The members of the present era. */
-  const LcClaimSet *lc_claim_era_present (const LcClaimEra *sync);
+  const LcClaimMembers *lc_claim_sync_present_members (const LcClaimSync *sync);
 
   /* The era that is being read for; 0 when this agent is complete. */
-  LcRevision lc_claim_era_target (const LcClaimEra *sync);
+  LcRevision lc_claim_sync_target_era (const LcClaimSync *sync);
 
   /* The members of an era; NULL when the view no longer has it. */
-  const LcClaimSet *lc_claim_era_find (const LcClaimEra *sync, LcRevision since);
+  const LcClaimMembers *lc_claim_sync_find_members (const LcClaimSync *sync, LcRevision since);
 
-  /* The number of members in all sets: an upper bound for lc_claim_era_wanted. */
-  uint32_t lc_claim_era_n_members (const LcClaimEra *sync);
+  /* The number of members in all sets: an upper bound for lc_claim_sync_missing. */
+  uint32_t lc_claim_sync_count_members (const LcClaimSync *sync);
 
   /* Writes the members that the present step still has to read from. */
-  uint32_t lc_claim_era_wanted (const LcClaimEra *sync, LcMemberRef *out, uint32_t max);
+  uint32_t lc_claim_sync_missing (const LcClaimSync *sync, LcMemberRef *out, uint32_t max);
 
   /* The state that a member reports with its claims. */
   typedef struct
@@ -150,23 +150,24 @@
   } LcClaimSource;
 
   /* All records of one member have arrived. */
-  void lc_claim_era_source (LcClaimEra *sync, const LcClaimSource *source, int64_t now_us);
+  void lc_claim_sync_add_source (LcClaimSync *sync, const LcClaimSource *source, int64_t now_us);
 
   /* Ends a step whose missing sources are lost for good. */
-  void lc_claim_era_tick (LcClaimEra *sync, int64_t now_us);
+  void lc_claim_sync_tick (LcClaimSync *sync, int64_t now_us);
 
   /* Whether this agent is a home of `key` and holds all of its earlier claims. */
-  bool lc_claim_era_knows (const LcClaimEra *sync, LcRequestKey key);
+  bool lc_claim_sync_may_grant (const LcClaimSync *sync, LcRequestKey key);
 
   /* How long claims of `key` can't be granted because every source is lost or itself waits for
    * lost members.  0: they can be granted now, or as soon as a source answers. */
-  int64_t lc_claim_era_lost_for_us (const LcClaimEra *sync, LcRequestKey key, int64_t now_us);
+  int64_t
+  lc_claim_sync_key_unavailable_us (const LcClaimSync *sync, LcRequestKey key, int64_t now_us);
 
   /* The same for the present step, whatever the key: a member reports it when it is read. */
-  int64_t lc_claim_era_stalled_for_us (const LcClaimEra *sync, int64_t now_us);
+  int64_t lc_claim_sync_unavailable_us (const LcClaimSync *sync, int64_t now_us);
 
 #ifdef __cplusplus
 }
 #endif
 
-#endif /* LC_CLAIM_ERA_H */
+#endif /* LC_CLAIM_SYNC_H */
--- a/src/core/request/lc-deadline.h
+++ b/src/core/request/lc-deadline.h
@@ -41,7 +41,7 @@
 
   /* The time left that is sent to an agent: less a tenth, at most 50 ms; 0 after the deadline. */
   static inline int64_t
-  lc_deadline_left_us (int64_t deadline_us, int64_t now_us)
+  lc_deadline_agent_left_us (int64_t deadline_us, int64_t now_us)
   {
     int64_t left_us = deadline_us - now_us;
     int64_t margin_us = left_us / LC_DEADLINE_MARGIN_SHARE;
@@ -58,7 +58,7 @@
   {
     int64_t deadline_us = lc_deadline_us (now_us, service_ms, caller_ms);
     int64_t leaves_us = now_us + caller_ms * LC_US_PER_MS;
-    int64_t answer_us = now_us + lc_deadline_left_us (leaves_us, now_us);
+    int64_t answer_us = now_us + lc_deadline_agent_left_us (leaves_us, now_us);
 
     return caller_ms != 0 && answer_us < deadline_us ? answer_us : deadline_us;
   }
--- a/src/core/request/lc-hedge.h
+++ b/src/core/request/lc-hedge.h
@@ -25,7 +25,7 @@
     LC_HEDGE_MIN_SAMPLES = 32,
   };
 
-#define LC_HEDGE_LEAST_US (5 * LC_US_PER_MS)
+#define LC_HEDGE_MIN_DELAY_US (5 * LC_US_PER_MS)
 
   typedef struct
   {
@@ -35,7 +35,7 @@
   } LcHedge;
 
   static inline void
-  lc_hedge_sample (LcHedge *hedge, int64_t took_us)
+  lc_hedge_record_latency (LcHedge *hedge, int64_t took_us)
   {
     int64_t error_us = took_us - hedge->mean_us;
 
@@ -57,13 +57,13 @@
 
   /* The delay before hedging; 0 (no hedging) while there are too few samples. */
   static inline int64_t
-  lc_hedge_after_us (const LcHedge *hedge)
+  lc_hedge_delay_us (const LcHedge *hedge)
   {
     int64_t after_us = hedge->mean_us + LC_HEDGE_DEVIATIONS * hedge->deviation_us;
 
     if (hedge->n_samples < LC_HEDGE_MIN_SAMPLES)
       return 0;
-    return after_us > LC_HEDGE_LEAST_US ? after_us : LC_HEDGE_LEAST_US;
+    return after_us > LC_HEDGE_MIN_DELAY_US ? after_us : LC_HEDGE_MIN_DELAY_US;
   }
 
 #ifdef __cplusplus
--- a/src/core/request/lc-limit.c
+++ b/src/core/request/lc-limit.c
@@ -11,7 +11,7 @@
 {
   limit->callers = g_hash_table_new (NULL, NULL);
   limit->in_flight = 0;
-  lc_limit_set (limit, desc);
+  lc_limit_set_limits (limit, desc);
 }
 
 void
@@ -22,7 +22,7 @@
 }
 
 void
-lc_limit_set (LcLimit *limit, const LcLimitDesc *desc)
+lc_limit_set_limits (LcLimit *limit, const LcLimitDesc *desc)
 {
   limit->desc = *desc;
   if (limit->desc.per_caller == 0)
@@ -32,7 +32,7 @@
 }
 
 LcLimitResult
-lc_limit_enter (LcLimit *limit, uint32_t caller)
+lc_limit_acquire (LcLimit *limit, uint32_t caller)
 {
   gpointer key = GUINT_TO_POINTER (caller);
   uint32_t n = GPOINTER_TO_UINT (g_hash_table_lookup (limit->callers, key));
@@ -47,7 +47,7 @@
 }
 
 void
-lc_limit_leave (LcLimit *limit, uint32_t caller)
+lc_limit_release (LcLimit *limit, uint32_t caller)
 {
   gpointer key = GUINT_TO_POINTER (caller);
   uint32_t n = GPOINTER_TO_UINT (g_hash_table_lookup (limit->callers, key));
--- a/src/core/request/lc-limit.h
+++ b/src/core/request/lc-limit.h
@@ -7,8 +7,8 @@
  *
  * HOW TO USE IT
  *     lc_limit_init (&limit, &(LcLimitDesc){ .per_caller = 64, .per_service = 512 });
- *     r = lc_limit_enter (&limit, caller);      LC_LIMIT_OK: must be followed by a leave
- *     lc_limit_leave (&limit, caller);
+ *     r = lc_limit_acquire (&limit, caller);      LC_LIMIT_OK: must be followed by a leave
+ *     lc_limit_release (&limit, caller);
  *
  * LIFETIME
  *   One value per service; callers with nothing in flight take no memory.
@@ -48,9 +48,9 @@
   void lc_limit_init (LcLimit *limit, const LcLimitDesc *desc);
   void lc_limit_finish (LcLimit *limit);
   /* Changes the limits; requests in flight stay counted. */
-  void lc_limit_set (LcLimit *limit, const LcLimitDesc *desc);
-  LcLimitResult lc_limit_enter (LcLimit *limit, uint32_t caller);
-  void lc_limit_leave (LcLimit *limit, uint32_t caller);
+  void lc_limit_set_limits (LcLimit *limit, const LcLimitDesc *desc);
+  LcLimitResult lc_limit_acquire (LcLimit *limit, uint32_t caller);
+  void lc_limit_release (LcLimit *limit, uint32_t caller);
 
 #ifdef __cplusplus
 }
--- a/src/core/request/lc-outcome.c
+++ b/src/core/request/lc-outcome.c
@@ -21,7 +21,7 @@
 }
 
 bool
-lc_refuse_is_elsewhere (LcRefuseReason reason)
+lc_refuse_retry_is_free (LcRefuseReason reason)
 {
   return reason == LC_REFUSE_STALE_INSTANCE || reason == LC_REFUSE_DRAINING;
 }
--- a/src/core/request/lc-outcome.h
+++ b/src/core/request/lc-outcome.h
@@ -50,7 +50,7 @@
   bool lc_refuse_is_not_run (LcRefuseReason reason);
 
   /* Whether a retry elsewhere adds no load, because the agent would take no request at all. */
-  bool lc_refuse_is_elsewhere (LcRefuseReason reason);
+  bool lc_refuse_retry_is_free (LcRefuseReason reason);
 
   /* A stable name for headers, logs and metrics, for example "queue-full". */
   const char *lc_refuse_name (LcRefuseReason reason);
--- a/src/core/request/lc-outlier.c
+++ b/src/core/request/lc-outlier.c
@@ -10,7 +10,7 @@
 #define LC_OUTLIER_LONGEST_US (30 * LC_US_PER_S)
 
 bool
-lc_outlier_failure (LcOutlier *outlier, const LcOutlierDesc *desc, int64_t now_us)
+lc_outlier_record_failure (LcOutlier *outlier, const LcOutlierDesc *desc, int64_t now_us)
 {
   uint32_t failures = desc->failures != 0 ? desc->failures : LC_OUTLIER_FAILURES;
   int64_t first_us = desc->first_us != 0 ? desc->first_us : LC_OUTLIER_FIRST_US;
@@ -31,7 +31,7 @@
 }
 
 void
-lc_outlier_success (LcOutlier *outlier)
+lc_outlier_record_success (LcOutlier *outlier)
 {
   outlier->consecutive = 0;
   outlier->ejections = 0;
--- a/src/core/request/lc-outlier.h
+++ b/src/core/request/lc-outlier.h
@@ -33,8 +33,8 @@
   } LcOutlier;
 
   /* Returns true when this failure ejects the endpoint. */
-  bool lc_outlier_failure (LcOutlier *outlier, const LcOutlierDesc *desc, int64_t now_us);
-  void lc_outlier_success (LcOutlier *outlier);
+  bool lc_outlier_record_failure (LcOutlier *outlier, const LcOutlierDesc *desc, int64_t now_us);
+  void lc_outlier_record_success (LcOutlier *outlier);
 
   static inline bool
   lc_outlier_is_ejected (const LcOutlier *outlier, int64_t now_us)
--- a/src/core/request/lc-pick.c
+++ b/src/core/request/lc-pick.c
@@ -9,7 +9,8 @@
   LC_PICK_RAMP_FLOOR_PERCENT = 10,
   LC_PICK_MAX_HALVINGS = 20,
   LC_PICK_SMOOTHING = 8,
-  LC_PICK_SLOWNESS = 24, /* slow endpoints free their slots late: they get a little less */
+  LC_PICK_SERVICE_TIME_DIVISOR =
+      24, /* slow endpoints free their slots late: they get a little less */
 };
 
 #define LC_PICK_DISTANCE_US (2 * LC_US_PER_MS)
@@ -23,7 +24,7 @@
 /* === private: the table ===================================================================== */
 
 static void
-lc_pick__fill (LcPickTarget *target, const LcEndpoint *e)
+lc_pick__fill_target (LcPickTarget *target, const LcEndpoint *e)
 {
   target->ref = (LcMemberRef){ e->id, e->instance };
   target->dc = e->dc;
@@ -34,7 +35,7 @@
 }
 
 static LcPickTarget
-lc_pick__target (LcPick *pick, const LcEndpoint *e, int64_t now_us)
+lc_pick__make_target (LcPick *pick, const LcEndpoint *e, int64_t now_us)
 {
   const LcPickTarget *known = lc_pick_find (pick, e->instance);
   LcPickTarget target = { .is_reachable = true };
@@ -43,7 +44,7 @@
     target = *known;
   else if (pick->has_view || e->state == LC_ENDPOINT_JOINING)
     target.joined_us = now_us;
-  lc_pick__fill (&target, e);
+  lc_pick__fill_target (&target, e);
   return target;
 }
 
@@ -64,7 +65,7 @@
 
 /* The load of other balancers, halved each half-life since the report; in 1/256 of a request. */
 static int64_t
-lc_pick__others (const LcPick *pick, const LcPickTarget *target, int64_t now_us)
+lc_pick__others_load (const LcPick *pick, const LcPickTarget *target, int64_t now_us)
 {
   int64_t age_us = now_us > target->last_report_us ? now_us - target->last_report_us : 0;
   int64_t halvings = age_us / pick->desc.half_life_us;
@@ -81,7 +82,7 @@
 static int64_t
 lc_pick__load (const LcPick *pick, const LcPickTarget *target, int64_t now_us)
 {
-  return (int64_t)target->outstanding * 256 + lc_pick__others (pick, target, now_us);
+  return (int64_t)target->outstanding * 256 + lc_pick__others_load (pick, target, now_us);
 }
 
 int64_t
@@ -103,7 +104,7 @@
     score += service_us * over / capacity;
   if (target->dc != pick->desc.own_dc && pick->desc.own_dc != 0)
     score += pick->desc.distance_us;
-  score += service_us / LC_PICK_SLOWNESS;
+  score += service_us / LC_PICK_SERVICE_TIME_DIVISOR;
   return score + LC_PICK_SERVICE_US * target->shed_share / 256;
 }
 
@@ -142,7 +143,7 @@
 }
 
 static uint32_t
-lc_pick__usable (
+lc_pick__list_usable (
     const LcPick *pick, const LcInstance *tried, uint32_t n_tried, int64_t now_us, uint32_t *out)
 {
   bool may_avoid = lc_pick__may_avoid (pick, now_us);
@@ -156,7 +157,7 @@
 }
 
 static uint64_t
-lc_pick__draw (uint64_t *random)
+lc_pick__next_random (uint64_t *random)
 {
   /* splitmix64 */
   uint64_t z = (*random += UINT64_C (0x9e3779b97f4a7c15));
@@ -202,7 +203,7 @@
 }
 
 void
-lc_pick_set (LcPick *pick, const LcService *service, int64_t now_us)
+lc_pick_set_service (LcPick *pick, const LcService *service, int64_t now_us)
 {
   uint32_t n = service != NULL ? service->n_endpoints : 0;
   LcPickTarget *targets = g_new0 (LcPickTarget, n + 1);
@@ -210,7 +211,7 @@
 
   for (uint32_t i = 0; i < n; i++)
     if (lc_endpoint_is_candidate (&service->endpoints[i]))
-      targets[n_targets++] = lc_pick__target (pick, &service->endpoints[i], now_us);
+      targets[n_targets++] = lc_pick__make_target (pick, &service->endpoints[i], now_us);
   g_free (pick->targets);
   pick->targets = targets;
   pick->n_targets = n_targets;
@@ -234,7 +235,7 @@
 }
 
 void
-lc_pick_begin (LcPickTarget *target, int64_t now_us)
+lc_pick_begin_attempt (LcPickTarget *target, int64_t now_us)
 {
   if (target->outstanding == 0)
     target->last_message_us = now_us;
@@ -242,14 +243,14 @@
 }
 
 void
-lc_pick_end (LcPickTarget *target)
+lc_pick_end_attempt (LcPickTarget *target)
 {
   if (target->outstanding > 0)
     target->outstanding--;
 }
 
 void
-lc_pick_note (LcPickTarget *target, bool is_shed)
+lc_pick_record_shed (LcPickTarget *target, bool is_shed)
 {
   target->shed_share -= target->shed_share / LC_PICK_SMOOTHING;
   if (is_shed)
@@ -257,7 +258,7 @@
 }
 
 void
-lc_pick_report (LcPick *pick, LcInstance instance, const LcPickReport *report, int64_t now_us)
+lc_pick_apply_report (LcPick *pick, LcInstance instance, const LcPickReport *report, int64_t now_us)
 {
   LcPickTarget *target = lc_pick_find (pick, instance);
   uint32_t all = report->running + report->queued;
@@ -280,7 +281,7 @@
 }
 
 void
-lc_pick_connect (LcPickTarget *target, int64_t now_us)
+lc_pick_set_connecting (LcPickTarget *target, int64_t now_us)
 {
   if (target->is_reachable)
     target->connecting_us = now_us;
@@ -306,14 +307,14 @@
 {
   uint32_t stack[64];
   uint32_t *usable = pick->n_targets <= 64 ? stack : g_new (uint32_t, pick->n_targets);
-  uint32_t n = lc_pick__usable (pick, tried, n_tried, now_us, usable);
+  uint32_t n = lc_pick__list_usable (pick, tried, n_tried, now_us, usable);
   uint32_t choices = lc_pick__n_choices (pick, n);
   LcPickTarget *best = NULL;
   int64_t best_score = 0;
 
   for (uint32_t i = 0; i < choices; i++)
     {
-      uint32_t at = i + (uint32_t)(lc_pick__draw (&random) % (n - i));
+      uint32_t at = i + (uint32_t)(lc_pick__next_random (&random) % (n - i));
       uint32_t drawn = usable[at];
       int64_t score = lc_pick_score (pick, &pick->targets[drawn], now_us);
 
--- a/src/core/request/lc-pick.h
+++ b/src/core/request/lc-pick.h
@@ -10,13 +10,13 @@
  *
  * HOW TO USE IT
  *     lc_pick_init (&pick, &(LcPickDesc){ .own_dc = dc });
- *     lc_pick_set (&pick, lc_view_service (view, id), now_us);    after each view change
+ *     lc_pick_set_service (&pick, lc_view_service (view, id), now_us);    after each view change
  *     LcPickTarget *t = lc_pick_choose (&pick, random, tried, n_tried, now_us);
- *     lc_pick_begin (t, now_us);   when it is sent; lc_pick_end (t) when it ends
- *     lc_pick_report (&pick, instance, &report, now_us);
+ *     lc_pick_begin_attempt (t, now_us);   when it is sent; lc_pick_end_attempt (t) when it ends
+ *     lc_pick_apply_report (&pick, instance, &report, now_us);
  *
  * LIFETIME
- *   Owns its table; pointers are valid until the next lc_pick_set.
+ *   Owns its table; pointers are valid until the next lc_pick_set_service.
  */
 #ifndef LC_PICK_H
 #define LC_PICK_H
@@ -84,21 +84,23 @@
   void lc_pick_finish (LcPick *pick);
 
   /* Sets the service's candidates; the state of instances that stay is kept. */
-  void lc_pick_set (LcPick *pick, const LcService *service, int64_t now_us);
+  void lc_pick_set_service (LcPick *pick, const LcService *service, int64_t now_us);
 
   /* Marks the endpoints of evacuated data centres: none of them is chosen. */
   void lc_pick_set_evacuated (LcPick *pick, const LcView *view);
 
-  void lc_pick_begin (LcPickTarget *target, int64_t now_us);
-  void lc_pick_end (LcPickTarget *target);
+  void lc_pick_begin_attempt (LcPickTarget *target, int64_t now_us);
+  void lc_pick_end_attempt (LcPickTarget *target);
 
   /* Records whether an attempt was shed by the backend server. */
-  void lc_pick_note (LcPickTarget *target, bool is_shed);
+  void lc_pick_record_shed (LcPickTarget *target, bool is_shed);
 
   LcPickTarget *lc_pick_find (LcPick *pick, LcInstance instance);
 
-  void
-  lc_pick_report (LcPick *pick, LcInstance instance, const LcPickReport *report, int64_t now_us);
+  void lc_pick_apply_report (LcPick *pick,
+                             LcInstance instance,
+                             const LcPickReport *report,
+                             int64_t now_us);
 
   /* The score of one endpoint, in microseconds; lower is better. */
   int64_t lc_pick_score (const LcPick *pick, const LcPickTarget *target, int64_t now_us);
@@ -107,7 +109,7 @@
   bool lc_pick_is_full (const LcPick *pick, const LcPickTarget *target, int64_t now_us);
 
   /* An attempt could not be sent because its link is still connecting. */
-  void lc_pick_connect (LcPickTarget *target, int64_t now_us);
+  void lc_pick_set_connecting (LcPickTarget *target, int64_t now_us);
 
   /* Whether the link began to connect less than 100 ms ago. */
   bool lc_pick_is_connecting (const LcPickTarget *target, int64_t now_us);
--- a/src/core/request/lc-request-agent-private.h
+++ b/src/core/request/lc-request-agent-private.h
@@ -24,7 +24,7 @@
 #define LC_AGENT_EXPIRE_EVERY_US LC_US_PER_S
 /* A record outlives every claim of its key, else its owner could be granted the key again. */
 #define LC_AGENT_RECORD_MARGIN_US (120 * LC_US_PER_S)
-#define LC_AGENT_SEEN_US (5 * LC_US_PER_S)
+#define LC_AGENT_SEEN_MARGIN_US (5 * LC_US_PER_S)
 
 typedef enum
 {
@@ -49,9 +49,9 @@
   int64_t started_us;
   int64_t expires_us;     /* when the record is dropped */
   int64_t retry_after_us; /* sent with a refusal; 0: computed from the queue */
-  bool is_delay_reported; /* LC_AGENT_HELD_UP was emitted */
-  LcClaimTry claim;
-  GArray *waiters;       /* LcAsk */
+  bool is_delay_reported; /* LC_AGENT_CLAIM_DELAYED was emitted */
+  LcClaimAcquire claim;
+  GArray *waiters;       /* LcAttemptId */
   LcRefuseReason reason; /* UNKNOWN */
   LcAnswer *answer;      /* DONE; NULL once dropped */
   GList *link;           /* in agent->answered */
@@ -65,30 +65,45 @@
   bool is_tombstone;
 } LcSeen;
 
-LcAgentAction *lc_agent__act (LcRequestAgent *agent, LcAgentActionKind kind);
+LcAgentAction *lc_agent__push_action (LcRequestAgent *agent, LcAgentActionKind kind);
 /* The returned action is valid until the next one is added. */
-LcAgentAction *
-lc_agent__refuse (LcRequestAgent *agent, const LcAsk *ask, LcRefuseReason reason, bool is_claimed);
-void lc_agent__answer (LcRequestAgent *agent, const LcAsk *ask, LcAnswer *answer, bool is_replayed);
-LcSeen *lc_agent__find_seen (const LcRequestAgent *agent, const LcAsk *ask);
-bool lc_agent__see (LcRequestAgent *agent, const LcAsk *ask, int64_t until_us, bool is_tombstone);
+LcAgentAction *lc_agent__refuse (LcRequestAgent *agent,
+                                 const LcAttemptId *ask,
+                                 LcRefuseReason reason,
+                                 bool is_claimed);
+void lc_agent__answer (LcRequestAgent *agent,
+                       const LcAttemptId *ask,
+                       LcAnswer *answer,
+                       bool is_replayed);
+LcSeen *lc_agent__find_seen (const LcRequestAgent *agent, const LcAttemptId *ask);
+bool lc_agent__add_seen (LcRequestAgent *agent,
+                         const LcAttemptId *ask,
+                         int64_t until_us,
+                         bool is_tombstone);
 void lc_agent__run_free (gpointer data);
 bool lc_agent__is_keyed (const LcRun *run);
 LcRun *lc_agent__new_run (LcRequestAgent *agent, const LcAgentAttempt *attempt);
 void lc_agent__drop_answer (LcRequestAgent *agent, LcRun *run);
 void lc_agent__remove_run (LcRequestAgent *agent, LcRun *run);
+void lc_agent__end_unstarted (LcRequestAgent *agent,
+                              LcRun *run,
+                              LcRefuseReason reason,
+                              LcMemberRef owner);
 void
-lc_agent__abandon (LcRequestAgent *agent, LcRun *run, LcRefuseReason reason, LcMemberRef owner);
-void lc_agent__abandon_plain (LcRequestAgent *agent, LcRun *run, LcRefuseReason reason);
-void lc_agent__close (LcRequestAgent *agent, LcRun *run, LcRunState state, int64_t now_us);
-void
-lc_agent__close_unknown (LcRequestAgent *agent, LcRun *run, LcRefuseReason reason, int64_t now_us);
-void lc_agent__pump (LcRequestAgent *agent, int64_t now_us);
+lc_agent__end_unstarted_without_owner (LcRequestAgent *agent, LcRun *run, LcRefuseReason reason);
+void lc_agent__end_started (LcRequestAgent *agent, LcRun *run, LcRunState state, int64_t now_us);
+void lc_agent__end_with_unknown_outcome (LcRequestAgent *agent,
+                                         LcRun *run,
+                                         LcRefuseReason reason,
+                                         int64_t now_us);
+void lc_agent__run_queue (LcRequestAgent *agent, int64_t now_us);
 void lc_agent__stop (LcRequestAgent *agent, LcRun *run, int64_t now_us);
-void lc_agent__admit (LcRequestAgent *agent, LcRun *run, int64_t now_us);
-void
-lc_agent__note_held_up (LcRequestAgent *agent, LcRun *run, LcMemberRef home, LcClaimResult result);
-void lc_agent__pause (LcRequestAgent *agent, LcRun *run, int64_t now_us);
-void lc_agent__start_claim (LcRequestAgent *agent, LcRun *run, int64_t now_us);
+void lc_agent__submit_run (LcRequestAgent *agent, LcRun *run, int64_t now_us);
+void lc_agent__report_claim_delay (LcRequestAgent *agent,
+                                   LcRun *run,
+                                   LcMemberRef home,
+                                   LcClaimResult result);
+void lc_agent__schedule_next_round (LcRequestAgent *agent, LcRun *run, int64_t now_us);
+void lc_agent__start_round (LcRequestAgent *agent, LcRun *run, int64_t now_us);
 
 #endif /* LC_REQUEST_AGENT_PRIVATE_H */
--- a/src/core/request/lc-request-agent.c
+++ b/src/core/request/lc-request-agent.c
@@ -4,7 +4,7 @@
 
 /* Adds an attempt to the run of its key, or answers it from the record. */
 static uint64_t
-lc_agent__join (LcRequestAgent *agent, LcRun *run, const LcAgentAttempt *attempt)
+lc_agent__join_run (LcRequestAgent *agent, LcRun *run, const LcAgentAttempt *attempt)
 {
   if (!attempt->is_query && !run->is_query && run->digest != attempt->digest)
     {
@@ -36,9 +36,9 @@
 }
 
 static LcRefuseReason
-lc_agent__reason_to_refuse (const LcRequestAgent *agent,
-                            const LcAgentAttempt *attempt,
-                            int64_t now_us)
+lc_agent__find_refuse_reason (const LcRequestAgent *agent,
+                              const LcAgentAttempt *attempt,
+                              int64_t now_us)
 {
   bool is_keyed = !lc_request_key_is_none (attempt->key);
 
@@ -60,7 +60,7 @@
 void
 lc_request_agent_init (LcRequestAgent *agent, const LcRequestAgentDesc *desc)
 {
-  LcClaimEraDesc era = { .self = desc->self, .lost_after_us = desc->lost_after_us };
+  LcClaimSyncDesc era = { .self = desc->self, .lost_after_us = desc->lost_after_us };
 
   memset (agent, 0, sizeof *agent);
   agent->desc = *desc;
@@ -72,7 +72,7 @@
     agent->desc.max_records = LC_AGENT_MAX_RECORDS;
   lc_admission_init (&agent->admission, &desc->admission);
   lc_claim_store_init (&agent->store, &desc->store);
-  lc_claim_era_init (&agent->claim_sync, &era);
+  lc_claim_sync_init (&agent->claim_sync, &era);
   agent->runs = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, lc_agent__run_free);
   agent->active = g_hash_table_new (g_int64_hash, g_int64_equal);
   agent->by_key = g_hash_table_new (lc_request_id_hash, lc_request_id_is_equal);
@@ -87,7 +87,7 @@
 {
   LcAgentAction action;
 
-  while (lc_request_agent_take (agent, &action))
+  while (lc_request_agent_next_action (agent, &action))
     lc_agent_action_clear (&action);
   g_queue_clear (&agent->answered);
   g_queue_clear (&agent->closed);
@@ -97,19 +97,19 @@
   g_hash_table_destroy (agent->seen);
   g_array_free (agent->actions, TRUE);
   lc_claim_store_finish (&agent->store);
-  lc_claim_era_finish (&agent->claim_sync);
+  lc_claim_sync_finish (&agent->claim_sync);
   memset (agent, 0, sizeof *agent);
 }
 
 /* === public: the view ======================================================================= */
 
 void
-lc_request_agent_view (LcRequestAgent *agent,
-                       const LcService *service,
-                       LcEndpointId self_id,
-                       int64_t now_us)
+lc_request_agent_set_service (LcRequestAgent *agent,
+                              const LcService *service,
+                              LcEndpointId self_id,
+                              int64_t now_us)
 {
-  LcRevision before = lc_claim_era_now (&agent->claim_sync);
+  LcRevision before = lc_claim_sync_present_era (&agent->claim_sync);
   GHashTableIter iter;
   gpointer value;
 
@@ -118,21 +118,23 @@
       agent->desc.self.id = self_id;
       agent->claim_sync.desc.self.id = self_id;
     }
-  lc_claim_era_set (&agent->claim_sync, service, now_us);
-  if (lc_claim_era_now (&agent->claim_sync) == before)
+  lc_claim_sync_set_service (&agent->claim_sync, service, now_us);
+  if (lc_claim_sync_present_era (&agent->claim_sync) == before)
     return;
   agent->last_read_us = 0;
   g_hash_table_iter_init (&iter, agent->active);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((LcRun *)value)->state == LC_RUN_STATE_CLAIMING)
-      lc_agent__pause (agent, value, now_us);
+      lc_agent__schedule_next_round (agent, value, now_us);
   lc_request_agent_tick (agent, now_us);
 }
 
 /* === public: attempts ======================================================================= */
 
 uint64_t
-lc_request_agent_attempt (LcRequestAgent *agent, const LcAgentAttempt *attempt, int64_t now_us)
+lc_request_agent_handle_attempt (LcRequestAgent *agent,
+                                 const LcAgentAttempt *attempt,
+                                 int64_t now_us)
 {
   const LcSeen *seen = lc_agent__find_seen (agent, &attempt->attempt_id);
   LcRefuseReason reason;
@@ -151,7 +153,7 @@
       lc_agent__refuse (agent, &attempt->attempt_id, LC_REFUSE_STALE_INSTANCE, false);
       return 0;
     }
-  if (!lc_agent__see (agent, &attempt->attempt_id, attempt->deadline_us, false))
+  if (!lc_agent__add_seen (agent, &attempt->attempt_id, attempt->deadline_us, false))
     {
       lc_agent__refuse (agent, &attempt->attempt_id, LC_REFUSE_FULL, false);
       return 0;
@@ -159,8 +161,8 @@
   run = lc_request_key_is_none (attempt->key) ? NULL
                                               : g_hash_table_lookup (agent->by_key, &attempt->key);
   if (run != NULL)
-    return lc_agent__join (agent, run, attempt);
-  reason = lc_agent__reason_to_refuse (agent, attempt, now_us);
+    return lc_agent__join_run (agent, run, attempt);
+  reason = lc_agent__find_refuse_reason (agent, attempt, now_us);
   if (reason != LC_REFUSE_NONE)
     {
       lc_agent__refuse (agent, &attempt->attempt_id, reason, false);
@@ -169,14 +171,14 @@
   run = lc_agent__new_run (agent, attempt);
   run_id = run->id;
   if (lc_agent__is_keyed (run))
-    lc_agent__start_claim (agent, run, now_us);
+    lc_agent__start_round (agent, run, now_us);
   else
-    lc_agent__admit (agent, run, now_us);
+    lc_agent__submit_run (agent, run, now_us);
   return run_id;
 }
 
 static LcRun *
-lc_agent__find_ask (const LcRequestAgent *agent, const LcAsk *ask, guint *at)
+lc_agent__find_waiting_run (const LcRequestAgent *agent, const LcAttemptId *ask, guint *at)
 {
   GHashTableIter iter;
   gpointer value;
@@ -188,7 +190,7 @@
 
       for (guint i = 0; i < run->waiters->len; i++)
         {
-          const LcAsk *known = &g_array_index (run->waiters, LcAsk, i);
+          const LcAttemptId *known = &g_array_index (run->waiters, LcAttemptId, i);
 
           *at = i;
           if (known->link_id == ask->link_id && known->attempt == ask->attempt &&
@@ -201,9 +203,9 @@
 
 /* Removes one waiting attempt; the last one takes the run with it. */
 static void
-lc_agent__leave (LcRequestAgent *agent, LcRun *run, guint at, int64_t now_us)
+lc_agent__remove_waiter (LcRequestAgent *agent, LcRun *run, guint at, int64_t now_us)
 {
-  LcAsk ask = g_array_index (run->waiters, LcAsk, at);
+  LcAttemptId ask = g_array_index (run->waiters, LcAttemptId, at);
 
   if (run->waiters->len > 1)
     {
@@ -220,20 +222,20 @@
       return;
     }
   (void)lc_admission_withdraw (&agent->admission, run->id);
-  lc_agent__abandon_plain (agent, run, LC_REFUSE_REVOKED);
+  lc_agent__end_unstarted_without_owner (agent, run, LC_REFUSE_REVOKED);
 }
 
 void
-lc_request_agent_cancel (LcRequestAgent *agent, const LcAsk *ask, int64_t now_us)
+lc_request_agent_handle_cancel (LcRequestAgent *agent, const LcAttemptId *ask, int64_t now_us)
 {
   const LcSeen *seen = lc_agent__find_seen (agent, ask);
   guint at = 0;
-  LcRun *run = seen != NULL ? lc_agent__find_ask (agent, ask, &at) : NULL;
+  LcRun *run = seen != NULL ? lc_agent__find_waiting_run (agent, ask, &at) : NULL;
 
   if (run != NULL)
-    lc_agent__leave (agent, run, at, now_us);
+    lc_agent__remove_waiter (agent, run, at, now_us);
   else if (seen == NULL &&
-           lc_agent__see (agent, ask, now_us + agent->claim_sync.desc.lost_after_us, true))
+           lc_agent__add_seen (agent, ask, now_us + agent->claim_sync.desc.lost_after_us, true))
     lc_agent__refuse (agent, ask, LC_REFUSE_REVOKED, false);
   else if (seen != NULL && seen->is_tombstone)
     lc_agent__refuse (agent, ask, LC_REFUSE_REVOKED, false);
@@ -258,57 +260,60 @@
 lc_agent__end_ok (LcRequestAgent *agent, LcRun *run, LcAnswer *answer, int64_t now_us)
 {
   for (guint i = 0; i < run->waiters->len; i++)
-    lc_agent__answer (agent, &g_array_index (run->waiters, LcAsk, i), answer, false);
+    lc_agent__answer (agent, &g_array_index (run->waiters, LcAttemptId, i), answer, false);
   if (lc_agent__is_keyed (run))
     lc_agent__record_answer (agent, run, answer);
-  lc_agent__close (agent, run, LC_RUN_STATE_DONE, now_us);
+  lc_agent__end_started (agent, run, LC_RUN_STATE_DONE, now_us);
 }
 
 void
-lc_request_agent_ended (
-    LcRequestAgent *agent, uint64_t run_id, LcRunEnd result, LcAnswer *answer, int64_t now_us)
+lc_request_agent_end_run (
+    LcRequestAgent *agent, uint64_t run_id, LcRunResult result, LcAnswer *answer, int64_t now_us)
 {
   LcRun *run = g_hash_table_lookup (agent->runs, &run_id);
 
   if (run == NULL || run->state != LC_RUN_STATE_RUNNING)
     return;
-  lc_admission_end (&agent->admission, result, run->started_us, now_us);
+  lc_admission_end_run (&agent->admission, result, run->started_us, now_us);
   switch (result)
     {
     case LC_RUN_OK:
       lc_agent__end_ok (agent, run, answer, now_us);
       break;
     case LC_RUN_SHED:
-      lc_agent__abandon_plain (agent, run, LC_REFUSE_SHED);
+      lc_agent__end_unstarted_without_owner (agent, run, LC_REFUSE_SHED);
       break;
     case LC_RUN_NOT_SENT:
-      lc_agent__abandon_plain (agent, run, LC_REFUSE_BACKEND_DOWN);
+      lc_agent__end_unstarted_without_owner (agent, run, LC_REFUSE_BACKEND_DOWN);
       break;
     case LC_RUN_BROKEN:
-      lc_agent__close_unknown (agent, run, LC_REFUSE_BROKEN, now_us);
+      lc_agent__end_with_unknown_outcome (agent, run, LC_REFUSE_BROKEN, now_us);
       break;
     case LC_RUN_CANCELLED:
-      lc_agent__close_unknown (agent, run, LC_REFUSE_CANCELLED, now_us);
+      lc_agent__end_with_unknown_outcome (agent, run, LC_REFUSE_CANCELLED, now_us);
       break;
     }
-  lc_agent__pump (agent, now_us);
+  lc_agent__run_queue (agent, now_us);
 }
 
 /* A keyed run continues without its balancer: the caller will ask another one for the answer. */
 static void
-lc_agent__leave_link (LcRequestAgent *agent, LcRun *run, uint64_t link_id, int64_t now_us)
+lc_agent__remove_waiters_of_link (LcRequestAgent *agent,
+                                  LcRun *run,
+                                  uint64_t link_id,
+                                  int64_t now_us)
 {
   guint n_before = run->waiters->len;
 
   for (guint i = run->waiters->len; i > 0; i--)
-    if (g_array_index (run->waiters, LcAsk, i - 1).link_id == link_id)
+    if (g_array_index (run->waiters, LcAttemptId, i - 1).link_id == link_id)
       g_array_remove_index (run->waiters, i - 1);
   if (run->waiters->len > 0 || n_before == 0)
     return;
   if (run->state != LC_RUN_STATE_RUNNING)
     {
       (void)lc_admission_withdraw (&agent->admission, run->id);
-      lc_agent__abandon_plain (agent, run, LC_REFUSE_REVOKED);
+      lc_agent__end_unstarted_without_owner (agent, run, LC_REFUSE_REVOKED);
     }
   else if (!lc_agent__is_keyed (run))
     lc_agent__stop (agent, run, now_us);
@@ -330,7 +335,7 @@
 }
 
 void
-lc_request_agent_link_down (LcRequestAgent *agent, uint64_t link_id, int64_t now_us)
+lc_request_agent_handle_link_down (LcRequestAgent *agent, uint64_t link_id, int64_t now_us)
 {
   guint n;
   uint64_t *ids = lc_agent__active_ids (agent, &n);
@@ -340,7 +345,7 @@
       LcRun *run = g_hash_table_lookup (agent->active, &ids[i]);
 
       if (run != NULL)
-        lc_agent__leave_link (agent, run, link_id, now_us);
+        lc_agent__remove_waiters_of_link (agent, run, link_id, now_us);
     }
   g_free (ids);
 }
@@ -358,13 +363,13 @@
       if (now_us >= run->deadline_us)
         {
           agent->stats.unclaimed_total++;
-          lc_agent__abandon_plain (agent, run, LC_REFUSE_UNCLAIMED);
+          lc_agent__end_unstarted_without_owner (agent, run, LC_REFUSE_UNCLAIMED);
         }
       else if (now_us >= run->next_round_us)
         {
           if (run->state == LC_RUN_STATE_CLAIMING)
-            lc_agent__note_held_up (agent, run, (LcMemberRef){ 0 }, 0);
-          lc_agent__start_claim (agent, run, now_us);
+            lc_agent__report_claim_delay (agent, run, (LcMemberRef){ 0 }, 0);
+          lc_agent__start_round (agent, run, now_us);
         }
       break;
     case LC_RUN_STATE_RUNNING:
@@ -377,24 +382,24 @@
 }
 
 static void
-lc_agent__read_members (LcRequestAgent *agent, int64_t now_us)
+lc_agent__request_claims (LcRequestAgent *agent, int64_t now_us)
 {
-  uint32_t max = lc_claim_era_n_members (&agent->claim_sync);
+  uint32_t max = lc_claim_sync_count_members (&agent->claim_sync);
   LcMemberRef *members;
   uint32_t n;
 
-  if (lc_claim_era_target (&agent->claim_sync) == 0 ||
+  if (lc_claim_sync_target_era (&agent->claim_sync) == 0 ||
       (now_us - agent->last_read_us < LC_AGENT_READ_EVERY_US && agent->last_read_us != 0))
     return;
   members = g_new (LcMemberRef, max + 1);
-  n = lc_claim_era_wanted (&agent->claim_sync, members, max);
+  n = lc_claim_sync_missing (&agent->claim_sync, members, max);
   agent->last_read_us = now_us;
   for (uint32_t i = 0; i < n; i++)
     {
-      LcAgentAction *action = lc_agent__act (agent, LC_AGENT_READ);
+      LcAgentAction *action = lc_agent__push_action (agent, LC_AGENT_READ_CLAIMS);
 
       action->read.member = members[i];
-      action->read.era = lc_claim_era_target (&agent->claim_sync);
+      action->read.era = lc_claim_sync_target_era (&agent->claim_sync);
     }
   g_free (members);
 }
@@ -442,9 +447,9 @@
         lc_agent__tick_run (agent, run, now_us);
     }
   g_free (ids);
-  lc_agent__pump (agent, now_us);
-  lc_claim_era_tick (&agent->claim_sync, now_us);
-  lc_agent__read_members (agent, now_us);
+  lc_agent__run_queue (agent, now_us);
+  lc_claim_sync_tick (&agent->claim_sync, now_us);
+  lc_agent__request_claims (agent, now_us);
   lc_agent__expire_records (agent, now_us);
   lc_agent__expire (agent, now_us);
 }
@@ -467,7 +472,7 @@
       if (run == NULL || run->state != LC_RUN_STATE_QUEUED)
         continue;
       (void)lc_admission_withdraw (&agent->admission, run->id);
-      lc_agent__abandon_plain (agent, run, LC_REFUSE_DRAINING);
+      lc_agent__end_unstarted_without_owner (agent, run, LC_REFUSE_DRAINING);
     }
   g_free (ids);
 }
@@ -487,7 +492,7 @@
 /* === public: actions ======================================================================== */
 
 bool
-lc_request_agent_take (LcRequestAgent *agent, LcAgentAction *action)
+lc_request_agent_next_action (LcRequestAgent *agent, LcAgentAction *action)
 {
   if (agent->n_taken == agent->actions->len)
     {
--- a/src/core/request/lc-request-balancer-private.h
+++ b/src/core/request/lc-request-balancer-private.h
@@ -35,7 +35,7 @@
   uint64_t id;
   LcRequestId request_id;
   LcServiceState *service;
-  LcAttempt attempt;
+  LcAttempts attempt;
   uint8_t counted; /* one bit per attempt: it counts in its target's `outstanding` */
   bool is_waiting; /* until an endpoint is reachable */
   int64_t waiting_since_us;
@@ -47,32 +47,36 @@
   int64_t retry_after_us;
 } LcFlight;
 
-void lc_balancer__service_free (gpointer data);
-LcServiceState *lc_balancer__service (const LcRequestBalancer *b, LcServiceId id);
+void lc_balancer__free_service (gpointer data);
+LcServiceState *lc_balancer__find_service (const LcRequestBalancer *b, LcServiceId id);
 void lc_balancer__set_service (LcRequestBalancer *b,
                                LcServiceState *state,
                                const LcService *service,
                                int64_t now_us);
-LcPickTarget *lc_balancer__target (const LcRequestBalancer *b, LcInstance instance);
-LcLimit *lc_balancer__limit (void *user, const LcService *service);
+LcPickTarget *lc_balancer__find_target (const LcRequestBalancer *b, LcInstance instance);
+LcLimit *lc_balancer__find_limit (void *user, const LcService *service);
 LcBalancerAction *
-lc_balancer__act (LcRequestBalancer *b, LcBalancerActionKind kind, uint64_t flight_id);
-LcFlight *lc_balancer__flight (const LcRequestBalancer *b, uint64_t flight_id);
-void lc_balancer__settle_counts (LcFlight *flight);
+lc_balancer__push_action (LcRequestBalancer *b, LcBalancerActionKind kind, uint64_t flight_id);
+LcFlight *lc_balancer__find_flight (const LcRequestBalancer *b, uint64_t flight_id);
+void lc_balancer__release_ended_attempts (LcFlight *flight);
 void lc_balancer__remove (LcRequestBalancer *b, LcFlight *flight);
 void lc_balancer__give_up (LcRequestBalancer *b, LcFlight *flight, LcRefuseReason reason);
-void lc_balancer__send (LcRequestBalancer *b,
-                        LcFlight *flight,
-                        const LcAttemptPlan *plan,
-                        int64_t now_us);
-LcAttemptPlanning lc_balancer__planning (LcRequestBalancer *b, LcFlight *flight, int64_t now_us);
-void lc_balancer__wait (LcFlight *flight, int64_t now_us);
-void lc_balancer__again (LcRequestBalancer *b, LcFlight *flight, int64_t now_us);
-void lc_balancer__step (LcRequestBalancer *b, LcFlight *flight, const LcStep *step, int64_t now_us);
-void lc_balancer__note_refusal (LcFlight *flight,
-                                uint32_t number,
-                                LcRefuseReason reason,
+void lc_balancer__send_attempt (LcRequestBalancer *b,
+                                LcFlight *flight,
+                                const LcAttemptPlan *plan,
                                 int64_t now_us);
-LcFlight *lc_balancer__match (const LcRequestBalancer *b, const LcAttemptRef *ref);
+LcAttemptPlanning
+lc_balancer__make_planning (LcRequestBalancer *b, LcFlight *flight, int64_t now_us);
+void lc_balancer__wait_for_endpoint (LcFlight *flight, int64_t now_us);
+void lc_balancer__send_first_or_wait (LcRequestBalancer *b, LcFlight *flight, int64_t now_us);
+void lc_balancer__apply_step (LcRequestBalancer *b,
+                              LcFlight *flight,
+                              const LcStep *step,
+                              int64_t now_us);
+void lc_balancer__record_refusal (LcFlight *flight,
+                                  uint32_t number,
+                                  LcRefuseReason reason,
+                                  int64_t now_us);
+LcFlight *lc_balancer__find_by_attempt (const LcRequestBalancer *b, const LcAttemptRef *ref);
 
 #endif /* LC_REQUEST_BALANCER_PRIVATE_H */
--- a/src/core/request/lc-request-balancer.c
+++ b/src/core/request/lc-request-balancer.c
@@ -10,7 +10,7 @@
   if (balancer->desc.connect_us == 0)
     balancer->desc.connect_us = LC_BALANCER_CONNECT_US;
   balancer->random = desc->seed;
-  balancer->services = g_hash_table_new_full (NULL, NULL, NULL, lc_balancer__service_free);
+  balancer->services = g_hash_table_new_full (NULL, NULL, NULL, lc_balancer__free_service);
   balancer->by_instance = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   balancer->flights = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   balancer->by_id = g_hash_table_new (lc_request_id_hash, lc_request_id_is_equal);
@@ -29,7 +29,7 @@
 }
 
 void
-lc_request_balancer_view (LcRequestBalancer *balancer, const LcView *view, int64_t now_us)
+lc_request_balancer_set_view (LcRequestBalancer *balancer, const LcView *view, int64_t now_us)
 {
   GHashTableIter iter;
   gpointer value;
@@ -50,28 +50,28 @@
 lc_balancer__new_flight (LcRequestBalancer *b, const LcFilterRequest *request)
 {
   LcFlight *flight = g_new0 (LcFlight, 1);
-  LcAttemptDesc desc = { .id = request->id,
-                         .key = request->key,
-                         .is_caller_key = request->is_caller_key,
-                         .deadline_us = request->deadline_us };
+  LcAttemptsDesc desc = { .id = request->id,
+                          .key = request->key,
+                          .is_caller_key = request->is_caller_key,
+                          .deadline_us = request->deadline_us };
 
   flight->id = ++b->next_flight_id;
   flight->request_id = request->id;
-  flight->service = lc_balancer__service (b, request->service->id);
+  flight->service = lc_balancer__find_service (b, request->service->id);
   flight->caller = request->caller;
   flight->is_limited = request->is_limited;
-  lc_attempt_init (&flight->attempt, &desc);
+  lc_attempts_init (&flight->attempt, &desc);
   g_hash_table_insert (b->flights, &flight->id, flight);
   g_hash_table_insert (b->by_id, &flight->request_id, flight);
   return flight;
 }
 
 uint64_t
-lc_request_balancer_start (LcRequestBalancer *balancer,
-                           LcFilterRequest *request,
-                           LcFilterVerdict *verdict)
+lc_request_balancer_start_request (LcRequestBalancer *balancer,
+                                   LcFilterRequest *request,
+                                   LcFilterVerdict *verdict)
 {
-  LcFilterContext context = { balancer->view, lc_balancer__limit, balancer };
+  LcFilterContext context = { balancer->view, lc_balancer__find_limit, balancer };
   LcFlight *flight;
   uint64_t flight_id;
 
@@ -89,18 +89,18 @@
     return 0;
   flight = lc_balancer__new_flight (balancer, request);
   flight_id = flight->id;
-  lc_retry_request (&flight->service->budget);
-  lc_balancer__again (balancer, flight, request->now_us);
+  lc_retry_deposit (&flight->service->budget);
+  lc_balancer__send_first_or_wait (balancer, flight, request->now_us);
   return flight_id;
 }
 
 void
-lc_request_balancer_sent (LcRequestBalancer *balancer,
-                          uint64_t flight_id,
-                          uint32_t number,
-                          uint64_t link_id)
+lc_request_balancer_handle_sent (LcRequestBalancer *balancer,
+                                 uint64_t flight_id,
+                                 uint32_t number,
+                                 uint64_t link_id)
 {
-  LcFlight *flight = lc_balancer__flight (balancer, flight_id);
+  LcFlight *flight = lc_balancer__find_flight (balancer, flight_id);
 
   if (flight == NULL || number == 0 || number > flight->attempt.n_attempts)
     return;
@@ -110,12 +110,12 @@
 }
 
 void
-lc_request_balancer_unsent (LcRequestBalancer *balancer,
-                            uint64_t flight_id,
-                            uint32_t number,
-                            int64_t now_us)
+lc_request_balancer_handle_send_failure (LcRequestBalancer *balancer,
+                                         uint64_t flight_id,
+                                         uint32_t number,
+                                         int64_t now_us)
 {
-  LcFlight *flight = lc_balancer__flight (balancer, flight_id);
+  LcFlight *flight = lc_balancer__find_flight (balancer, flight_id);
   LcPickTarget *target;
   LcStep step;
 
@@ -124,28 +124,28 @@
   target =
       lc_pick_find (&flight->service->pick, flight->attempt.attempts[number - 1].target.instance);
   if (target != NULL)
-    lc_pick_connect (target, now_us);
-  step = lc_attempt_unsent (&flight->attempt, number);
-  lc_balancer__settle_counts (flight);
+    lc_pick_set_connecting (target, now_us);
+  step = lc_attempts_handle_send_failure (&flight->attempt, number);
+  lc_balancer__release_ended_attempts (flight);
   if (step.kind != LC_STEP_RETRY)
     return;
-  /* Not sent, so it does not count towards LC_ATTEMPT_MAX. */
+  /* Not sent, so it does not count towards LC_ATTEMPTS_MAX. */
   if (number == flight->attempt.n_attempts)
     flight->attempt.n_attempts--;
   if (flight->owner.instance != 0)
-    lc_balancer__wait (flight, now_us); /* no other agent can answer */
+    lc_balancer__wait_for_endpoint (flight, now_us); /* no other agent can answer */
   else
-    lc_balancer__again (balancer, flight, now_us);
+    lc_balancer__send_first_or_wait (balancer, flight, now_us);
 }
 
 uint64_t
-lc_request_balancer_answered (LcRequestBalancer *balancer,
-                              const LcAttemptRef *ref,
-                              bool is_whole,
-                              uint32_t status,
-                              int64_t now_us)
+lc_request_balancer_handle_answer (LcRequestBalancer *balancer,
+                                   const LcAttemptRef *ref,
+                                   bool is_whole,
+                                   uint32_t status,
+                                   int64_t now_us)
 {
-  LcFlight *flight = lc_balancer__match (balancer, ref);
+  LcFlight *flight = lc_balancer__find_by_attempt (balancer, ref);
   LcPickTarget *target;
   LcStep step;
   uint64_t flight_id;
@@ -158,33 +158,33 @@
   flight_id = flight->id;
   target = lc_pick_find (&flight->service->pick,
                          flight->attempt.attempts[ref->number - 1].target.instance);
-  step = lc_attempt_answered (&flight->attempt, ref->link_id, ref->number, is_whole);
+  step = lc_attempts_handle_answer (&flight->attempt, ref->link_id, ref->number, is_whole);
   if (target != NULL)
-    lc_pick_note (target, false);
+    lc_pick_record_shed (target, false);
   if (target != NULL && is_whole && status < 500)
-    lc_outlier_success (&target->outlier);
+    lc_outlier_record_success (&target->outlier);
   else if (target != NULL)
-    (void)lc_outlier_failure (&target->outlier, &flight->service->pick.desc.outlier, now_us);
+    (void)lc_outlier_record_failure (&target->outlier, &flight->service->pick.desc.outlier, now_us);
   if (step.kind != LC_STEP_ANSWER)
     {
-      lc_balancer__step (balancer, flight, &step, now_us);
+      lc_balancer__apply_step (balancer, flight, &step, now_us);
       return 0;
     }
-  lc_hedge_sample (&flight->service->hedge, now_us - flight->sent_us);
+  lc_hedge_record_latency (&flight->service->hedge, now_us - flight->sent_us);
   balancer->stats.answered_total++;
-  lc_balancer__act (balancer, LC_BALANCER_ANSWER, flight_id);
+  lc_balancer__push_action (balancer, LC_BALANCER_ANSWER, flight_id);
   lc_balancer__remove (balancer, flight);
   return flight_id;
 }
 
 void
-lc_request_balancer_refused (LcRequestBalancer *balancer,
-                             const LcAttemptRef *ref,
-                             const LcRefusal *refusal,
-                             int64_t retry_after_us,
-                             int64_t now_us)
+lc_request_balancer_handle_refusal (LcRequestBalancer *balancer,
+                                    const LcAttemptRef *ref,
+                                    const LcRefusal *refusal,
+                                    int64_t retry_after_us,
+                                    int64_t now_us)
 {
-  LcFlight *flight = lc_balancer__match (balancer, ref);
+  LcFlight *flight = lc_balancer__find_by_attempt (balancer, ref);
   LcStep step;
 
   if (flight == NULL)
@@ -193,22 +193,22 @@
       return;
     }
   flight->retry_after_us = MAX (flight->retry_after_us, retry_after_us);
-  lc_balancer__note_refusal (flight, ref->number, refusal->reason, now_us);
-  step = lc_attempt_refused (&flight->attempt, ref->link_id, ref->number, refusal);
-  lc_balancer__step (balancer, flight, &step, now_us);
+  lc_balancer__record_refusal (flight, ref->number, refusal->reason, now_us);
+  step = lc_attempts_handle_refusal (&flight->attempt, ref->link_id, ref->number, refusal);
+  lc_balancer__apply_step (balancer, flight, &step, now_us);
 }
 
 bool
-lc_request_balancer_is_open (const LcRequestBalancer *balancer, const LcAttemptRef *ref)
+lc_request_balancer_is_attempt_open (const LcRequestBalancer *balancer, const LcAttemptRef *ref)
 {
-  return lc_balancer__match (balancer, ref) != NULL;
+  return lc_balancer__find_by_attempt (balancer, ref) != NULL;
 }
 
 /* === public: links and reports ============================================================== */
 
 /* Steps may end flights, so loops iterate over a copy of the list. */
 static LcFlight **
-lc_balancer__flights (const LcRequestBalancer *b, guint *n)
+lc_balancer__list_flights (const LcRequestBalancer *b, guint *n)
 {
   LcFlight **list = g_new (LcFlight *, g_hash_table_size (b->flights) + 1);
   GHashTableIter iter;
@@ -222,17 +222,17 @@
 }
 
 void
-lc_request_balancer_link_down (LcRequestBalancer *balancer, uint64_t link_id, int64_t now_us)
+lc_request_balancer_handle_link_down (LcRequestBalancer *balancer, uint64_t link_id, int64_t now_us)
 {
   guint n;
-  LcFlight **flights = lc_balancer__flights (balancer, &n);
+  LcFlight **flights = lc_balancer__list_flights (balancer, &n);
 
   for (guint i = 0; i < n; i++)
     {
-      LcStep step = lc_attempt_link_down (&flights[i]->attempt, link_id);
+      LcStep step = lc_attempts_handle_link_down (&flights[i]->attempt, link_id);
 
       if (step.kind != LC_STEP_NONE)
-        lc_balancer__step (balancer, flights[i], &step, now_us);
+        lc_balancer__apply_step (balancer, flights[i], &step, now_us);
     }
   g_free (flights);
 }
@@ -241,21 +241,21 @@
 lc_balancer__retry_waiting (LcRequestBalancer *b, int64_t now_us)
 {
   guint n;
-  LcFlight **flights = lc_balancer__flights (b, &n);
+  LcFlight **flights = lc_balancer__list_flights (b, &n);
 
   for (guint i = 0; i < n; i++)
     if (flights[i]->is_waiting)
-      lc_balancer__again (b, flights[i], now_us);
+      lc_balancer__send_first_or_wait (b, flights[i], now_us);
   g_free (flights);
 }
 
 void
-lc_request_balancer_reachable (LcRequestBalancer *balancer,
-                               LcInstance instance,
-                               bool is_reachable,
-                               int64_t now_us)
+lc_request_balancer_set_reachable (LcRequestBalancer *balancer,
+                                   LcInstance instance,
+                                   bool is_reachable,
+                                   int64_t now_us)
 {
-  LcPickTarget *target = lc_balancer__target (balancer, instance);
+  LcPickTarget *target = lc_balancer__find_target (balancer, instance);
 
   if (target != NULL)
     lc_pick_set_reachable (target, is_reachable);
@@ -264,21 +264,21 @@
 }
 
 void
-lc_request_balancer_report (LcRequestBalancer *balancer,
-                            LcInstance instance,
-                            const LcPickReport *report,
-                            int64_t now_us)
+lc_request_balancer_handle_report (LcRequestBalancer *balancer,
+                                   LcInstance instance,
+                                   const LcPickReport *report,
+                                   int64_t now_us)
 {
   LcServiceState *state = g_hash_table_lookup (balancer->by_instance, &instance);
 
   if (state != NULL)
-    lc_pick_report (&state->pick, instance, report, now_us);
+    lc_pick_apply_report (&state->pick, instance, report, now_us);
 }
 
 void
-lc_request_balancer_gone (LcRequestBalancer *balancer, uint64_t flight_id, int64_t now_us)
+lc_request_balancer_cancel (LcRequestBalancer *balancer, uint64_t flight_id, int64_t now_us)
 {
-  LcFlight *flight = lc_balancer__flight (balancer, flight_id);
+  LcFlight *flight = lc_balancer__find_flight (balancer, flight_id);
 
   (void)now_us;
   if (flight != NULL)
@@ -290,29 +290,29 @@
 static void
 lc_balancer__hedge (LcRequestBalancer *b, LcFlight *flight, int64_t now_us)
 {
-  int64_t after_us = lc_hedge_after_us (&flight->service->hedge);
+  int64_t after_us = lc_hedge_delay_us (&flight->service->hedge);
   LcStep step = { .kind = LC_STEP_RETRY, .reason = LC_REFUSE_NONE };
   LcAttemptPlanning planning;
   LcAttemptPlan plan;
 
   if (b->desc.has_no_hedge || flight->is_hedged || after_us == 0 ||
       !lc_request_key_is_none (flight->attempt.desc.key) ||
-      lc_attempt_n_open (&flight->attempt) != 1 || now_us - flight->sent_us < after_us)
+      lc_attempts_count_open (&flight->attempt) != 1 || now_us - flight->sent_us < after_us)
     return;
-  planning = lc_balancer__planning (b, flight, now_us);
+  planning = lc_balancer__make_planning (b, flight, now_us);
   plan = lc_filter_attempt_next (&planning, &step);
   flight->is_hedged = true;
   if (plan.kind != LC_PLAN_SEND)
     return;
   b->stats.hedges_total++;
-  lc_balancer__send (b, flight, &plan, now_us);
+  lc_balancer__send_attempt (b, flight, &plan, now_us);
 }
 
 void
 lc_request_balancer_tick (LcRequestBalancer *balancer, int64_t now_us)
 {
   guint n;
-  LcFlight **flights = lc_balancer__flights (balancer, &n);
+  LcFlight **flights = lc_balancer__list_flights (balancer, &n);
 
   for (guint i = 0; i < n; i++)
     if (now_us >= flights[i]->attempt.desc.deadline_us)
@@ -323,20 +323,20 @@
                             flights[i]->owner.instance != 0 ? LC_REFUSE_HELD
                                                             : LC_REFUSE_NO_ENDPOINT);
     else if (flights[i]->is_waiting)
-      lc_balancer__again (balancer, flights[i], now_us);
+      lc_balancer__send_first_or_wait (balancer, flights[i], now_us);
     else
       lc_balancer__hedge (balancer, flights[i], now_us);
   g_free (flights);
 }
 
 uint32_t
-lc_request_balancer_n_flights (const LcRequestBalancer *balancer)
+lc_request_balancer_count_flights (const LcRequestBalancer *balancer)
 {
   return g_hash_table_size (balancer->flights);
 }
 
 bool
-lc_request_balancer_take (LcRequestBalancer *balancer, LcBalancerAction *action)
+lc_request_balancer_next_action (LcRequestBalancer *balancer, LcBalancerAction *action)
 {
   if (balancer->n_taken == balancer->actions->len)
     {
--- a/src/core/request/lc-request-balancer.h
+++ b/src/core/request/lc-request-balancer.h
@@ -7,12 +7,12 @@
  *
  * HOW TO USE IT
  *     lc_request_balancer_init (&balancer, &(LcRequestBalancerDesc){ .own_dc = dc });
- *     lc_request_balancer_view (&balancer, view, now_us);        after each view change
- *     flight_id = lc_request_balancer_start (&balancer, &request, &verdict);    0: refused
- *     while (lc_request_balancer_take (&balancer, &action)) switch (action.kind)
- *       SEND    connect and send; then lc_request_balancer_sent or _unsent
+ *     lc_request_balancer_set_view (&balancer, view, now_us);        after each view change
+ *     flight_id = lc_request_balancer_start_request (&balancer, &request, &verdict);    0: refused
+ *     while (lc_request_balancer_next_action (&balancer, &action)) switch (action.kind)
+ *       SEND    connect and send; then lc_request_balancer_handle_sent or _unsent
  *       CANCEL  send the agent a cancellation of this attempt
- *       ANSWER  send the caller the answer just passed to lc_request_balancer_answered
+ *       ANSWER  send the caller the answer just passed to lc_request_balancer_handle_answer
  *       FAIL    report action.fail to the caller
  *     lc_request_balancer_tick (&balancer, now_us);              every few milliseconds
  *     lc_request_balancer_finish (&balancer);
@@ -115,22 +115,23 @@
 
   void lc_request_balancer_init (LcRequestBalancer *balancer, const LcRequestBalancerDesc *desc);
   void lc_request_balancer_finish (LcRequestBalancer *balancer);
-  void lc_request_balancer_view (LcRequestBalancer *balancer, const LcView *view, int64_t now_us);
+  void
+  lc_request_balancer_set_view (LcRequestBalancer *balancer, const LcView *view, int64_t now_us);
 
   /* Runs the filters and starts a flight; 0 and `verdict` when a filter refuses. */
-  uint64_t lc_request_balancer_start (LcRequestBalancer *balancer,
-                                      LcFilterRequest *request,
-                                      LcFilterVerdict *verdict);
+  uint64_t lc_request_balancer_start_request (LcRequestBalancer *balancer,
+                                              LcFilterRequest *request,
+                                              LcFilterVerdict *verdict);
 
   /* The result of a SEND action. */
-  void lc_request_balancer_sent (LcRequestBalancer *balancer,
-                                 uint64_t flight_id,
-                                 uint32_t number,
-                                 uint64_t link_id);
-  void lc_request_balancer_unsent (LcRequestBalancer *balancer,
-                                   uint64_t flight_id,
-                                   uint32_t number,
-                                   int64_t now_us);
+  void lc_request_balancer_handle_sent (LcRequestBalancer *balancer,
+                                        uint64_t flight_id,
+                                        uint32_t number,
+                                        uint64_t link_id);
+  void lc_request_balancer_handle_send_failure (LcRequestBalancer *balancer,
+                                                uint64_t flight_id,
+                                                uint32_t number,
+                                                int64_t now_us);
 
   /* Identifies the attempt that a message belongs to, with the link that it came over. */
   typedef struct
@@ -141,37 +142,39 @@
   } LcAttemptRef;
 
   /* Returns the flight that the answer completes, else 0. */
-  uint64_t lc_request_balancer_answered (LcRequestBalancer *balancer,
-                                         const LcAttemptRef *ref,
-                                         bool is_whole,
-                                         uint32_t status,
-                                         int64_t now_us);
-  void lc_request_balancer_refused (LcRequestBalancer *balancer,
-                                    const LcAttemptRef *ref,
-                                    const LcRefusal *refusal,
-                                    int64_t retry_after_us,
-                                    int64_t now_us);
+  uint64_t lc_request_balancer_handle_answer (LcRequestBalancer *balancer,
+                                              const LcAttemptRef *ref,
+                                              bool is_whole,
+                                              uint32_t status,
+                                              int64_t now_us);
+  void lc_request_balancer_handle_refusal (LcRequestBalancer *balancer,
+                                           const LcAttemptRef *ref,
+                                           const LcRefusal *refusal,
+                                           int64_t retry_after_us,
+                                           int64_t now_us);
   /* Whether an attempt is open, so that parts of its answer must be buffered. */
-  bool lc_request_balancer_is_open (const LcRequestBalancer *balancer, const LcAttemptRef *ref);
-
-  void
-  lc_request_balancer_link_down (LcRequestBalancer *balancer, uint64_t link_id, int64_t now_us);
-  void lc_request_balancer_reachable (LcRequestBalancer *balancer,
-                                      LcInstance instance,
-                                      bool is_reachable,
-                                      int64_t now_us);
-  void lc_request_balancer_report (LcRequestBalancer *balancer,
-                                   LcInstance instance,
-                                   const LcPickReport *report,
-                                   int64_t now_us);
+  bool lc_request_balancer_is_attempt_open (const LcRequestBalancer *balancer,
+                                            const LcAttemptRef *ref);
+
+  void lc_request_balancer_handle_link_down (LcRequestBalancer *balancer,
+                                             uint64_t link_id,
+                                             int64_t now_us);
+  void lc_request_balancer_set_reachable (LcRequestBalancer *balancer,
+                                          LcInstance instance,
+                                          bool is_reachable,
+                                          int64_t now_us);
+  void lc_request_balancer_handle_report (LcRequestBalancer *balancer,
+                                          LcInstance instance,
+                                          const LcPickReport *report,
+                                          int64_t now_us);
 
   /* The caller has disconnected: cancels its attempts without a FAIL. */
-  void lc_request_balancer_gone (LcRequestBalancer *balancer, uint64_t flight_id, int64_t now_us);
+  void lc_request_balancer_cancel (LcRequestBalancer *balancer, uint64_t flight_id, int64_t now_us);
 
   void lc_request_balancer_tick (LcRequestBalancer *balancer, int64_t now_us);
 
-  uint32_t lc_request_balancer_n_flights (const LcRequestBalancer *balancer);
-  bool lc_request_balancer_take (LcRequestBalancer *balancer, LcBalancerAction *action);
+  uint32_t lc_request_balancer_count_flights (const LcRequestBalancer *balancer);
+  bool lc_request_balancer_next_action (LcRequestBalancer *balancer, LcBalancerAction *action);
 
 #ifdef __cplusplus
 }
--- a/src/core/request/lc-request-flight.c
+++ b/src/core/request/lc-request-flight.c
@@ -3,7 +3,7 @@
 /* === private: services ====================================================================== */
 
 void
-lc_balancer__service_free (gpointer data)
+lc_balancer__free_service (gpointer data)
 {
   LcServiceState *state = data;
 
@@ -13,7 +13,7 @@
 }
 
 static LcLimitDesc
-lc_balancer__limits (const LcService *service)
+lc_balancer__make_limits (const LcService *service)
 {
   LcLimitDesc desc = { .per_caller = service->caller_limit };
 
@@ -31,7 +31,7 @@
                       .choices = b->desc.choices,
                       .distance_us = b->desc.distance_us,
                       .ramp_us = b->desc.ramp_us };
-  LcLimitDesc limits = lc_balancer__limits (service);
+  LcLimitDesc limits = lc_balancer__make_limits (service);
 
   state->id = service->id;
   lc_pick_init (&state->pick, &pick);
@@ -42,14 +42,14 @@
 }
 
 LcServiceState *
-lc_balancer__service (const LcRequestBalancer *b, LcServiceId id)
+lc_balancer__find_service (const LcRequestBalancer *b, LcServiceId id)
 {
   return g_hash_table_lookup (b->services, GUINT_TO_POINTER (id));
 }
 
 /* Adds the targets to the index by instance, or removes them. */
 static void
-lc_balancer__index (LcRequestBalancer *b, LcServiceState *state, bool is_there)
+lc_balancer__index_instances (LcRequestBalancer *b, LcServiceState *state, bool is_there)
 {
   for (uint32_t i = 0; i < state->pick.n_targets; i++)
     {
@@ -75,23 +75,23 @@
   state->pick.desc.own_dc = b->desc.own_dc;
   if (revision != state->membership_revision || revision == 0)
     {
-      lc_balancer__index (b, state, false);
-      lc_pick_set (&state->pick, service, now_us);
-      lc_balancer__index (b, state, true);
+      lc_balancer__index_instances (b, state, false);
+      lc_pick_set_service (&state->pick, service, now_us);
+      lc_balancer__index_instances (b, state, true);
       state->membership_revision = revision;
     }
   lc_pick_set_evacuated (&state->pick, b->view);
   if (service == NULL)
     return;
-  limits = lc_balancer__limits (service);
-  lc_limit_set (&state->limit, &limits);
+  limits = lc_balancer__make_limits (service);
+  lc_limit_set_limits (&state->limit, &limits);
   state->budget.percent = service->retry_percent != 0
                               ? MIN (service->retry_percent, LC_RETRY_MAX_PERCENT)
                               : (uint32_t)LC_RETRY_PERCENT;
 }
 
 LcPickTarget *
-lc_balancer__target (const LcRequestBalancer *b, LcInstance instance)
+lc_balancer__find_target (const LcRequestBalancer *b, LcInstance instance)
 {
   LcServiceState *state = g_hash_table_lookup (b->by_instance, &instance);
 
@@ -100,10 +100,10 @@
 
 /* The limit filter is the first to need a service's state, so it is created here. */
 LcLimit *
-lc_balancer__limit (void *user, const LcService *service)
+lc_balancer__find_limit (void *user, const LcService *service)
 {
   LcRequestBalancer *b = user;
-  LcServiceState *state = lc_balancer__service (b, service->id);
+  LcServiceState *state = lc_balancer__find_service (b, service->id);
 
   if (state == NULL)
     {
@@ -123,7 +123,7 @@
 }
 
 LcBalancerAction *
-lc_balancer__act (LcRequestBalancer *b, LcBalancerActionKind kind, uint64_t flight_id)
+lc_balancer__push_action (LcRequestBalancer *b, LcBalancerActionKind kind, uint64_t flight_id)
 {
   LcBalancerAction action = { .kind = kind, .flight_id = flight_id };
 
@@ -132,18 +132,18 @@
 }
 
 LcFlight *
-lc_balancer__flight (const LcRequestBalancer *b, uint64_t flight_id)
+lc_balancer__find_flight (const LcRequestBalancer *b, uint64_t flight_id)
 {
   return g_hash_table_lookup (b->flights, &flight_id);
 }
 
 /* Removes attempts that are no longer open from their targets' outstanding counts. */
 void
-lc_balancer__settle_counts (LcFlight *flight)
+lc_balancer__release_ended_attempts (LcFlight *flight)
 {
   for (uint32_t i = 0; i < flight->attempt.n_attempts; i++)
     {
-      const LcAttemptOne *one = &flight->attempt.attempts[i];
+      const LcAttempt *one = &flight->attempt.attempts[i];
       LcPickTarget *target;
 
       if ((flight->counted & (1U << i)) == 0 ||
@@ -152,7 +152,7 @@
       flight->counted &= (uint8_t) ~(1U << i);
       target = lc_pick_find (&flight->service->pick, one->target.instance);
       if (target != NULL)
-        lc_pick_end (target);
+        lc_pick_end_attempt (target);
     }
 }
 
@@ -162,7 +162,7 @@
   for (uint32_t i = 0; i < flight->attempt.n_attempts; i++)
     if (flight->attempt.attempts[i].state == LC_ATTEMPT_OPEN)
       {
-        LcBalancerAction *action = lc_balancer__act (b, LC_BALANCER_CANCEL, flight->id);
+        LcBalancerAction *action = lc_balancer__push_action (b, LC_BALANCER_CANCEL, flight->id);
 
         action->cancel.id = flight->request_id;
         action->cancel.number = i + 1;
@@ -174,9 +174,9 @@
 lc_balancer__remove (LcRequestBalancer *b, LcFlight *flight)
 {
   lc_balancer__cancel_open (b, flight);
-  lc_balancer__settle_counts (flight);
+  lc_balancer__release_ended_attempts (flight);
   if (flight->is_limited)
-    lc_limit_leave (&flight->service->limit, flight->caller);
+    lc_limit_release (&flight->service->limit, flight->caller);
   g_hash_table_remove (b->by_id, &flight->request_id);
   g_hash_table_remove (b->flights, &flight->id);
 }
@@ -184,7 +184,7 @@
 static void
 lc_balancer__fail (LcRequestBalancer *b, LcFlight *flight, const LcStep *step)
 {
-  LcBalancerAction *action = lc_balancer__act (b, LC_BALANCER_FAIL, flight->id);
+  LcBalancerAction *action = lc_balancer__push_action (b, LC_BALANCER_FAIL, flight->id);
 
   action->fail.reason = step->reason;
   action->fail.outcome = step->outcome;
@@ -199,7 +199,7 @@
 void
 lc_balancer__give_up (LcRequestBalancer *b, LcFlight *flight, LcRefuseReason reason)
 {
-  LcStep step = lc_attempt_give_up (&flight->attempt, reason);
+  LcStep step = lc_attempts_give_up (&flight->attempt, reason);
 
   lc_balancer__fail (b, flight, &step);
 }
@@ -207,13 +207,13 @@
 /* === private: attempts ====================================================================== */
 
 void
-lc_balancer__send (LcRequestBalancer *b,
-                   LcFlight *flight,
-                   const LcAttemptPlan *plan,
-                   int64_t now_us)
+lc_balancer__send_attempt (LcRequestBalancer *b,
+                           LcFlight *flight,
+                           const LcAttemptPlan *plan,
+                           int64_t now_us)
 {
   LcPickTarget *target = lc_pick_find (&flight->service->pick, plan->ref.instance);
-  uint32_t number = lc_attempt_begin (&flight->attempt, plan->ref, 0);
+  uint32_t number = lc_attempts_begin (&flight->attempt, plan->ref, 0);
   LcBalancerAction *action;
 
   if (number == 0)
@@ -223,20 +223,20 @@
     }
   if (target != NULL)
     {
-      lc_pick_begin (target, now_us);
+      lc_pick_begin_attempt (target, now_us);
       flight->counted |= (uint8_t)(1U << (number - 1));
     }
   flight->sent_us = now_us;
-  action = lc_balancer__act (b, LC_BALANCER_SEND, flight->id);
+  action = lc_balancer__push_action (b, LC_BALANCER_SEND, flight->id);
   action->send.number = number;
   action->send.ref = plan->ref;
   action->send.ipv4 = plan->ipv4;
   action->send.peer_port = plan->peer_port;
-  action->send.left_us = lc_deadline_left_us (flight->attempt.desc.deadline_us, now_us);
+  action->send.left_us = lc_deadline_agent_left_us (flight->attempt.desc.deadline_us, now_us);
 }
 
 LcAttemptPlanning
-lc_balancer__planning (LcRequestBalancer *b, LcFlight *flight, int64_t now_us)
+lc_balancer__make_planning (LcRequestBalancer *b, LcFlight *flight, int64_t now_us)
 {
   return (LcAttemptPlanning){ .attempt = &flight->attempt,
                               .view = b->view,
@@ -247,7 +247,7 @@
 }
 
 void
-lc_balancer__wait (LcFlight *flight, int64_t now_us)
+lc_balancer__wait_for_endpoint (LcFlight *flight, int64_t now_us)
 {
   if (!flight->is_waiting)
     flight->waiting_since_us = now_us;
@@ -255,18 +255,18 @@
 }
 
 static void
-lc_balancer__carry_out (LcRequestBalancer *b,
-                        LcFlight *flight,
-                        const LcAttemptPlan *plan,
-                        int64_t now_us)
+lc_balancer__execute_plan (LcRequestBalancer *b,
+                           LcFlight *flight,
+                           const LcAttemptPlan *plan,
+                           int64_t now_us)
 {
   switch (plan->kind)
     {
     case LC_PLAN_SEND:
-      lc_balancer__send (b, flight, plan, now_us);
+      lc_balancer__send_attempt (b, flight, plan, now_us);
       break;
     case LC_PLAN_WAIT:
-      lc_balancer__wait (flight, now_us);
+      lc_balancer__wait_for_endpoint (flight, now_us);
       break;
     case LC_PLAN_END:
       lc_balancer__give_up (b, flight, plan->reason);
@@ -276,26 +276,26 @@
 
 /* Sends the first attempt, or the next one after waiting; to the owner of the claim if any. */
 void
-lc_balancer__again (LcRequestBalancer *b, LcFlight *flight, int64_t now_us)
+lc_balancer__send_first_or_wait (LcRequestBalancer *b, LcFlight *flight, int64_t now_us)
 {
-  LcAttemptPlanning planning = lc_balancer__planning (b, flight, now_us);
-  LcStep step = { .kind = LC_STEP_OWNER, .reason = LC_REFUSE_HELD, .owner = flight->owner };
+  LcAttemptPlanning planning = lc_balancer__make_planning (b, flight, now_us);
+  LcStep step = { .kind = LC_STEP_TRY_OWNER, .reason = LC_REFUSE_HELD, .owner = flight->owner };
   LcAttemptPlan plan;
 
   if (flight->owner.instance != 0)
     plan = lc_filter_attempt_next (&planning, &step);
   else
     plan = lc_filter_attempt_first (&planning);
-  lc_balancer__carry_out (b, flight, &plan, now_us);
+  lc_balancer__execute_plan (b, flight, &plan, now_us);
 }
 
 void
-lc_balancer__step (LcRequestBalancer *b, LcFlight *flight, const LcStep *step, int64_t now_us)
+lc_balancer__apply_step (LcRequestBalancer *b, LcFlight *flight, const LcStep *step, int64_t now_us)
 {
   LcAttemptPlanning planning;
   LcAttemptPlan plan;
 
-  lc_balancer__settle_counts (flight);
+  lc_balancer__release_ended_attempts (flight);
   switch (step->kind)
     {
     case LC_STEP_NONE:
@@ -305,32 +305,35 @@
       lc_balancer__fail (b, flight, step);
       return;
     case LC_STEP_RETRY:
-    case LC_STEP_OWNER:
+    case LC_STEP_TRY_OWNER:
       break;
     }
-  flight->owner = step->kind == LC_STEP_OWNER ? step->owner : (LcMemberRef){ 0 };
-  planning = lc_balancer__planning (b, flight, now_us);
+  flight->owner = step->kind == LC_STEP_TRY_OWNER ? step->owner : (LcMemberRef){ 0 };
+  planning = lc_balancer__make_planning (b, flight, now_us);
   plan = lc_filter_attempt_next (&planning, step);
   if (plan.kind == LC_PLAN_SEND)
     b->stats.retries_total++;
-  lc_balancer__carry_out (b, flight, &plan, now_us);
+  lc_balancer__execute_plan (b, flight, &plan, now_us);
 }
 
 void
-lc_balancer__note_refusal (LcFlight *flight, uint32_t number, LcRefuseReason reason, int64_t now_us)
+lc_balancer__record_refusal (LcFlight *flight,
+                             uint32_t number,
+                             LcRefuseReason reason,
+                             int64_t now_us)
 {
   LcPick *pick = &flight->service->pick;
   LcPickTarget *target = lc_pick_find (pick, flight->attempt.attempts[number - 1].target.instance);
 
   if (target == NULL)
     return;
-  lc_pick_note (target, reason == LC_REFUSE_SHED);
+  lc_pick_record_shed (target, reason == LC_REFUSE_SHED);
   if (reason == LC_REFUSE_BROKEN || reason == LC_REFUSE_BACKEND_DOWN)
-    (void)lc_outlier_failure (&target->outlier, &pick->desc.outlier, now_us);
+    (void)lc_outlier_record_failure (&target->outlier, &pick->desc.outlier, now_us);
 }
 
 LcFlight *
-lc_balancer__match (const LcRequestBalancer *b, const LcAttemptRef *ref)
+lc_balancer__find_by_attempt (const LcRequestBalancer *b, const LcAttemptRef *ref)
 {
   LcFlight *flight = g_hash_table_lookup (b->by_id, &ref->id);
 
--- a/src/core/request/lc-retry.h
+++ b/src/core/request/lc-retry.h
@@ -47,7 +47,7 @@
   }
 
   static inline void
-  lc_retry_request (LcRetryBudget *budget)
+  lc_retry_deposit (LcRetryBudget *budget)
   {
     budget->milli_tokens += budget->percent * LC_RETRY_TOKEN / 100;
     if (budget->milli_tokens > LC_RETRY_MAX_TOKENS * LC_RETRY_TOKEN)
@@ -55,7 +55,7 @@
   }
 
   static inline bool
-  lc_retry_take (LcRetryBudget *budget)
+  lc_retry_withdraw (LcRetryBudget *budget)
   {
     if (budget->milli_tokens < LC_RETRY_TOKEN)
       {
--- a/src/io/lc-flow-wire.c
+++ b/src/io/lc-flow-wire.c
@@ -103,7 +103,7 @@
   m->load.is_accepting = w->is_accepting;
   m->load.looks_bad = w->looks_bad;
   m->load.is_warm = w->is_warm;
-  m->load.coverage = (LcFlowKnowledge)w->knowledge;
+  m->load.coverage = (LcFlowCoverage)w->knowledge;
   m->membership = w->membership;
   m->roster = w->roster;
   m->round = w->round;
--- a/tests/adapter/prop-report.cc
+++ b/tests/adapter/prop-report.cc
@@ -67,7 +67,7 @@
     for (const Word &w : all)
       {
         LcBackendReport r = report_of (w);
-        LcBackendNews news = lc_backend_status_take (&status, &r, 1000);
+        LcBackendUpdate news = lc_backend_status_apply (&status, &r, 1000);
 
         if (w.start > newest)
           {
@@ -79,12 +79,12 @@
         RC_ASSERT (news != LC_BACKEND_STARTED);
         if (w.start < newest)
           {
-            RC_ASSERT (news == LC_BACKEND_LATE);
+            RC_ASSERT (news == LC_BACKEND_STALE);
             continue;
           }
-        has_drained = has_drained || (news != LC_BACKEND_LATE && w.is_draining);
+        has_drained = has_drained || (news != LC_BACKEND_STALE && w.is_draining);
         RC_ASSERT (status.newest.born_ms == 1000 + newest);
-        RC_ASSERT (lc_backend_status_is_open (&status, 1000) == !has_drained);
+        RC_ASSERT (lc_backend_status_is_available (&status, 1000) == !has_drained);
       }
     if (!all.empty ())
       {
@@ -92,7 +92,7 @@
         LcBackendStatus alone;
 
         lc_backend_status_init (&alone, &desc, 0);
-        (void)lc_backend_status_take (&alone, &present, 0);
+        (void)lc_backend_status_apply (&alone, &present, 0);
         RC_ASSERT (lc_backend_status_instance (&status) == lc_backend_status_instance (&alone));
       }
   });
@@ -115,7 +115,7 @@
                         now_us += *rc::gen::inRange<int64_t> (0, 6) * LC_US_PER_S;
                         r.id[0] = has_new_ids ? (char)('a' + w.start) : 'a';
                         r.state = w.start == N_STARTS ? LC_BACKEND_READY : r.state;
-                        (void)lc_backend_status_take (&status, &r, now_us);
+                        (void)lc_backend_status_apply (&status, &r, now_us);
                       }
                     for (uint64_t i = 1; i <= 8; i++)
                       {
@@ -123,10 +123,10 @@
 
                         now_us += 1200 * LC_US_PER_MS;
                         r.id[0] = has_new_ids ? (char)('a' + N_STARTS) : 'a';
-                        (void)lc_backend_status_take (&status, &r, now_us);
+                        (void)lc_backend_status_apply (&status, &r, now_us);
                       }
                     RC_ASSERT (status.newest.born_ms == 1000 + N_STARTS);
-                    RC_ASSERT (lc_backend_status_is_open (&status, now_us));
+                    RC_ASSERT (lc_backend_status_is_available (&status, now_us));
                   }) &&
        ok;
 
--- a/tests/adapter/test-report.c
+++ b/tests/adapter/test-report.c
@@ -120,7 +120,7 @@
   const char *id;
   LcBackendState state;
   uint64_t sequence;
-  LcBackendNews expected;
+  LcBackendUpdate expected;
   uint64_t born_ms;
 } Step;
 
@@ -134,50 +134,50 @@
 static const OrderCase ORDERS[] = {
   { "usual",
     { { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED },
-      { "a", LC_BACKEND_READY, 2, LC_BACKEND_SAME } },
+      { "a", LC_BACKEND_READY, 2, LC_BACKEND_UNCHANGED } },
     true },
   { "doubled",
     { { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED },
-      { "a", LC_BACKEND_READY, 1, LC_BACKEND_LATE } },
+      { "a", LC_BACKEND_READY, 1, LC_BACKEND_STALE } },
     true },
   { "late",
     { { "a", LC_BACKEND_READY, 5, LC_BACKEND_STARTED },
-      { "a", LC_BACKEND_READY, 3, LC_BACKEND_LATE } },
+      { "a", LC_BACKEND_READY, 3, LC_BACKEND_STALE } },
     true },
   { "late word of readiness after that of leaving",
     { { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED },
       { "a", LC_BACKEND_DRAINING, 3, LC_BACKEND_CHANGED },
-      { "a", LC_BACKEND_READY, 2, LC_BACKEND_LATE } },
+      { "a", LC_BACKEND_READY, 2, LC_BACKEND_STALE } },
     false },
   { "readiness after leaving, whatever its number",
     { { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED },
       { "a", LC_BACKEND_DRAINING, 2, LC_BACKEND_CHANGED },
-      { "a", LC_BACKEND_READY, 9, LC_BACKEND_LATE } },
+      { "a", LC_BACKEND_READY, 9, LC_BACKEND_STALE } },
     false },
   { "first seen while it leaves", { { "a", LC_BACKEND_DRAINING, 7, LC_BACKEND_STARTED } }, false },
   { "ended",
     { { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED },
       { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_CHANGED },
-      { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_LATE } },
+      { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_STALE } },
     false },
   { "the end of one that was never seen",
-    { { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_LATE } },
+    { { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_STALE } },
     false },
   { "started again",
     { { "a", LC_BACKEND_DRAINING, 8, LC_BACKEND_STARTED },
       { "b", LC_BACKEND_READY, 1, LC_BACKEND_STARTED },
-      { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_LATE },
-      { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_LATE } },
+      { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_STALE },
+      { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_STALE } },
     true },
   { "started again under the same id: its sequence begins anew",
     { { "a", LC_BACKEND_READY, 40, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 2000 },
-      { "a", LC_BACKEND_READY, 2, LC_BACKEND_SAME, 2000 } },
+      { "a", LC_BACKEND_READY, 2, LC_BACKEND_UNCHANGED, 2000 } },
     true },
   { "started again under the same id after it was leaving",
     { { "a", LC_BACKEND_DRAINING, 40, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 2000 },
-      { "a", LC_BACKEND_DRAINING, 41, LC_BACKEND_LATE, 1000 } },
+      { "a", LC_BACKEND_DRAINING, 41, LC_BACKEND_STALE, 1000 } },
     true },
   { "started again under the same id after it ended",
     { { "a", LC_BACKEND_DRAINING, 40, LC_BACKEND_STARTED, 1000 },
@@ -188,21 +188,21 @@
     { { "a", LC_BACKEND_READY, 9, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 2000 },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 3000 },
-      { "a", LC_BACKEND_DRAINING, 99, LC_BACKEND_LATE, 2000 },
-      { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_LATE, 1000 } },
+      { "a", LC_BACKEND_DRAINING, 99, LC_BACKEND_STALE, 2000 },
+      { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_STALE, 1000 } },
     true },
   { "the first word that is seen is an earlier start's",
     { { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 2000 },
-      { "a", LC_BACKEND_DRAINING, 10, LC_BACKEND_LATE, 1000 } },
+      { "a", LC_BACKEND_DRAINING, 10, LC_BACKEND_STALE, 1000 } },
     true },
   { "a word without its start says nothing of one that named it",
     { { "a", LC_BACKEND_READY, 3, LC_BACKEND_STARTED, 1000 },
-      { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_LATE } },
+      { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_STALE } },
     true },
   { "the end, without its start, of one that never said that it leaves",
     { { "a", LC_BACKEND_READY, 3, LC_BACKEND_STARTED, 1000 },
-      { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_LATE } },
+      { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_STALE } },
     true },
   { "the end of the start that it names",
     { { "a", LC_BACKEND_READY, 3, LC_BACKEND_STARTED, 1000 },
@@ -210,12 +210,12 @@
     false },
   { "another id, of an earlier start, while the known one is heard",
     { { "b", LC_BACKEND_READY, 3, LC_BACKEND_STARTED, 2000 },
-      { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_LATE, 1000 } },
+      { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_STALE, 1000 } },
     true },
   { "it begins to name its start",
     { { "a", LC_BACKEND_DRAINING, 3, LC_BACKEND_STARTED },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 1000 },
-      { "a", LC_BACKEND_DRAINING, 4, LC_BACKEND_LATE } },
+      { "a", LC_BACKEND_DRAINING, 4, LC_BACKEND_STALE } },
     true },
 };
 
@@ -233,10 +233,10 @@
                                  .born_ms = c->steps[i].born_ms };
 
       (void)strcpy (report.id, c->steps[i].id);
-      ck_assert_msg (lc_backend_status_take (&status, &report, 1000) == c->steps[i].expected,
+      ck_assert_msg (lc_backend_status_apply (&status, &report, 1000) == c->steps[i].expected,
                      "%s: step %d", c->what, i);
     }
-  ck_assert_msg (lc_backend_status_is_open (&status, 1000) == c->is_open, "%s", c->what);
+  ck_assert_msg (lc_backend_status_is_available (&status, 1000) == c->is_open, "%s", c->what);
 }
 END_TEST
 
@@ -252,12 +252,12 @@
   LcBackendStatus status;
 
   lc_backend_status_init (&status, &desc, 0);
-  ck_assert (!lc_backend_status_is_open (&status, 0));
+  ck_assert (!lc_backend_status_is_available (&status, 0));
   ck_assert_uint_eq (lc_backend_status_instance (&status), 0);
-  (void)lc_backend_status_take (&status, &report, 0);
+  (void)lc_backend_status_apply (&status, &report, 0);
   ck_assert_uint_ne (lc_backend_status_instance (&status), 0);
   for (size_t i = 0; i < sizeof CASES / sizeof CASES[0]; i++)
-    ck_assert (lc_backend_status_is_open (&status, CASES[i].after_us) == CASES[i].is_open);
+    ck_assert (lc_backend_status_is_available (&status, CASES[i].after_us) == CASES[i].is_open);
 }
 END_TEST
 
@@ -288,8 +288,8 @@
 
       lc_backend_status_init (&status, &desc, 7000);
       if (CASES[i].has_reported)
-        (void)lc_backend_status_take (&status, &report, 7000);
-      ck_assert_msg (lc_backend_status_may_ask (&status, CASES[i].is_candidate,
+        (void)lc_backend_status_apply (&status, &report, 7000);
+      ck_assert_msg (lc_backend_status_may_try (&status, CASES[i].is_candidate,
                                                 7000 + CASES[i].after_us) == CASES[i].may_ask,
                      "%s", CASES[i].what);
     }
@@ -323,7 +323,7 @@
 
       lc_backend_status_init (&status, &desc, 7000);
       if (CASES[i].has_reported)
-        (void)lc_backend_status_take (&status, &report, 7000);
+        (void)lc_backend_status_apply (&status, &report, 7000);
       ck_assert_msg (lc_backend_status_is_cold (&status, 7000 + CASES[i].after_us) ==
                          CASES[i].is_cold,
                      "%s", CASES[i].what);
@@ -345,22 +345,22 @@
     {
       lc_backend_status_init (&status, &desc, 0);
       (void)strcpy (report.id, IDS[i]);
-      (void)lc_backend_status_take (&status, &report, 0);
+      (void)lc_backend_status_apply (&status, &report, 0);
       instances[i] = lc_backend_status_instance (&status);
     }
   lc_backend_status_init (&status, &desc, 0);
-  lc_backend_status_note_named (&status, instances[0]);
+  lc_backend_status_set_listed (&status, instances[0]);
   (void)strcpy (report.id, "new");
-  ck_assert_int_eq (lc_backend_status_take (&status, &report, 10), LC_BACKEND_STARTED);
+  ck_assert_int_eq (lc_backend_status_apply (&status, &report, 10), LC_BACKEND_STARTED);
   (void)strcpy (report.id, "old");
-  ck_assert_int_eq (lc_backend_status_take (&status, &report, 20), LC_BACKEND_LATE);
+  ck_assert_int_eq (lc_backend_status_apply (&status, &report, 20), LC_BACKEND_STALE);
   ck_assert_uint_eq (lc_backend_status_instance (&status), instances[1]);
   /* The one that the view names is no other when it reports itself. */
   lc_backend_status_init (&status, &desc, 0);
-  lc_backend_status_note_named (&status, instances[0]);
-  ck_assert_int_eq (lc_backend_status_take (&status, &report, 10), LC_BACKEND_STARTED);
+  lc_backend_status_set_listed (&status, instances[0]);
+  ck_assert_int_eq (lc_backend_status_apply (&status, &report, 10), LC_BACKEND_STARTED);
   report.sequence++;
-  ck_assert_int_eq (lc_backend_status_take (&status, &report, 20), LC_BACKEND_SAME);
+  ck_assert_int_eq (lc_backend_status_apply (&status, &report, 20), LC_BACKEND_UNCHANGED);
 }
 END_TEST
 
@@ -379,20 +379,20 @@
   LcInstance instance;
 
   lc_backend_status_init (&status, &desc, 0);
-  (void)lc_backend_status_take (&status, &earlier, 0);
+  (void)lc_backend_status_apply (&status, &earlier, 0);
   instance = lc_backend_status_instance (&status);
-  (void)lc_backend_status_take (&status, &present, 0);
+  (void)lc_backend_status_apply (&status, &present, 0);
   ck_assert_uint_ne (lc_backend_status_instance (&status), instance);
   instance = lc_backend_status_instance (&status);
 
   lc_backend_status_init (&status, &desc, 0);
-  lc_backend_status_note_named (&status, instance);
-  (void)lc_backend_status_take (&status, &earlier, 10);
-  ck_assert_int_eq (lc_backend_status_take (&status, &present, 20), LC_BACKEND_STARTED);
+  lc_backend_status_set_listed (&status, instance);
+  (void)lc_backend_status_apply (&status, &earlier, 10);
+  ck_assert_int_eq (lc_backend_status_apply (&status, &present, 20), LC_BACKEND_STARTED);
   ck_assert_uint_eq (lc_backend_status_instance (&status), instance);
-  ck_assert (lc_backend_status_is_open (&status, 20));
-  ck_assert_int_eq (lc_backend_status_take (&status, &earlier, 30), LC_BACKEND_LATE);
-  ck_assert (lc_backend_status_is_open (&status, 30));
+  ck_assert (lc_backend_status_is_available (&status, 20));
+  ck_assert_int_eq (lc_backend_status_apply (&status, &earlier, 30), LC_BACKEND_STALE);
+  ck_assert (lc_backend_status_is_available (&status, 30));
 }
 END_TEST
 
@@ -402,8 +402,8 @@
   static const struct
   {
     int64_t at_us;
-    LcBackendNews expected;
-  } CASES[] = { { 2500000, LC_BACKEND_LATE }, { 2500001, LC_BACKEND_STARTED } };
+    LcBackendUpdate expected;
+  } CASES[] = { { 2500000, LC_BACKEND_STALE }, { 2500001, LC_BACKEND_STARTED } };
   LcBackendReport known = { .id = "a", .state = LC_BACKEND_READY, .sequence = 9, .born_ms = 5000 };
   LcBackendReport fresh = { .id = "b", .state = LC_BACKEND_READY, .sequence = 1, .born_ms = 4000 };
 
@@ -413,8 +413,8 @@
       LcBackendStatus status;
 
       lc_backend_status_init (&status, &desc, 0);
-      (void)lc_backend_status_take (&status, &known, 0);
-      ck_assert_int_eq (lc_backend_status_take (&status, &fresh, CASES[i].at_us),
+      (void)lc_backend_status_apply (&status, &known, 0);
+      ck_assert_int_eq (lc_backend_status_apply (&status, &fresh, CASES[i].at_us),
                         CASES[i].expected);
     }
 }
@@ -431,15 +431,15 @@
     const char *id;
     uint64_t born_ms;
     uint64_t sequence;
-    LcBackendNews expected;
+    LcBackendUpdate expected;
   } WORDS[] = {
     { 0, "b", 2000, 1, LC_BACKEND_STARTED },
     { 5000, "a", 1000, 90, LC_BACKEND_STARTED }, /* as behind a clock step: nobody else speaks */
-    { 5100, "b", 2000, 5, LC_BACKEND_LATE },
-    { 6300, "b", 2000, 6, LC_BACKEND_LATE },
+    { 5100, "b", 2000, 5, LC_BACKEND_STALE },
+    { 6300, "b", 2000, 6, LC_BACKEND_STALE },
     { 8100, "b", 2000, 8, LC_BACKEND_STARTED }, /* "a" has been silent since */
-    { 8200, "a", 1000, 91, LC_BACKEND_LATE },
-    { 9300, "b", 2000, 9, LC_BACKEND_SAME },
+    { 8200, "a", 1000, 91, LC_BACKEND_STALE },
+    { 9300, "b", 2000, 9, LC_BACKEND_UNCHANGED },
   };
   LcBackendStatusDesc desc = { 0 };
   LcBackendStatus status;
@@ -452,11 +452,11 @@
                                  .born_ms = WORDS[i].born_ms };
 
       (void)strcpy (report.id, WORDS[i].id);
-      ck_assert_msg (lc_backend_status_take (&status, &report, WORDS[i].at_ms * LC_US_PER_MS) ==
+      ck_assert_msg (lc_backend_status_apply (&status, &report, WORDS[i].at_ms * LC_US_PER_MS) ==
                          WORDS[i].expected,
                      "word %zu", i);
     }
-  ck_assert (lc_backend_status_is_open (&status, 9300 * LC_US_PER_MS));
+  ck_assert (lc_backend_status_is_available (&status, 9300 * LC_US_PER_MS));
 }
 END_TEST
 
@@ -485,7 +485,7 @@
 {
   LcBackendReport report = { .sequence = STARTS[_i].sequence, .born_ms = STARTS[_i].born_ms };
 
-  ck_assert_msg (lc_backend_report_is_of_new (&report, STARTS[_i].began_ms) == STARTS[_i].is_new,
+  ck_assert_msg (lc_backend_report_is_new_start (&report, STARTS[_i].began_ms) == STARTS[_i].is_new,
                  "%s", STARTS[_i].what);
 }
 END_TEST
--- a/tests/control/test-control-state.c
+++ b/tests/control/test-control-state.c
@@ -443,13 +443,13 @@
       s->n_addresses = 1;
       s->addresses = g_new0 (LcDeclaredAddress, 1);
       s->addresses[0] = (LcDeclaredAddress){ 0xc6120001, 443, LC_PROTOCOL_TCP, "" };
-      (void)g_strlcpy (s->addresses[0].homes, HOMES[i], LC_HOMES_BYTES);
+      (void)g_strlcpy (s->addresses[0].homes, HOMES[i], LC_HOME_REGIONS_BYTES);
       packed = lc_control_command_pack (&c);
       bytes = g_bytes_get_data (packed, &len);
       ck_assert_int_eq (lc_control_command_unpack (&read, bytes, len, NULL), 0);
       lc_control_state_apply (&w.state, ++w.index, &read);
       for (guint k = 0; k < w.state.ops->len; k++)
-        if (lc_scope_wants (&scope, &g_array_index (w.state.ops, LcViewOp, k)))
+        if (lc_scope_includes (&scope, &g_array_index (w.state.ops, LcViewOp, k)))
           ck_assert_int_eq (lc_view_apply (&part, &g_array_index (w.state.ops, LcViewOp, k), NULL),
                             0);
       a = lc_view_address (&w.state.view, 0xc6120001, 443, LC_PROTOCOL_TCP);
--- a/tests/control/test-evacuation.c
+++ b/tests/control/test-evacuation.c
@@ -216,9 +216,9 @@
   ck_assert_int_eq (answer->code, LC_ERR_REFUSED);
   ck_assert_ptr_nonnull (strstr (answer->message, "order-desk"));
   ck_assert_int_eq (order (&w, "hall-atl", true, 0, true)->code, LC_OK);
-  ck_assert_uint_eq (
-      lc_evacuation_left (&w.state.view, lc_view_service_by_name (&w.state.view, "order-desk"), 0),
-      0);
+  ck_assert_uint_eq (lc_evacuation_n_candidates (
+                         &w.state.view, lc_view_service_by_name (&w.state.view, "order-desk"), 0),
+                     0);
   lc_control_state_finish (&w.state);
 }
 END_TEST
--- a/tests/control/test-heal.c
+++ b/tests/control/test-heal.c
@@ -167,7 +167,7 @@
   const Case *c = &CASES[_i];
   LcHealDesc desc = { .self = LEADER, .n_voters = c->n_voters != 0 ? c->n_voters : N_VOTERS };
   LcRaftConfig config = { 0 };
-  LcHealSeen observed[5] = { 0 };
+  LcHealReplica observed[5] = { 0 };
   uint32_t n_observed = 0;
   LcHealChange change = { 0 };
   bool is_change;
@@ -183,7 +183,7 @@
       ck_assert_int_eq (lc_raft_config_put (&config, &m), 0);
     }
   for (int i = 0; i < 5 && c->observed[i].id != 0; i++)
-    observed[n_observed++] = (LcHealSeen){
+    observed[n_observed++] = (LcHealReplica){
       .id = c->observed[i].id,
       .ipv4 = c->observed[i].at,
       .port = 7000,
--- a/tests/control/test-raft.c
+++ b/tests/control/test-raft.c
@@ -68,11 +68,11 @@
 
   while (lc_raft_take_persist (&r->raft, &persist))
     {
-      lc_raft_persisted (&r->raft, persist.sequence, r->now_us);
+      lc_raft_mark_persisted (&r->raft, persist.sequence, r->now_us);
       lc_raft_persist_finish (&persist);
     }
   while (lc_raft_next_committed (&r->raft) != NULL)
-    lc_raft_applied (&r->raft);
+    lc_raft_mark_applied (&r->raft);
 }
 
 /* Takes all outgoing messages and copies out the last one of `kind` to `to`, without its
@@ -351,7 +351,7 @@
   acknowledge (&r, PEER, 1);
   persist_all (&r);
   (void)take_message (&r, LC_RAFT_APPEND, PEER, &m);
-  lc_raft_transfer (&r.raft, r.now_us);
+  lc_raft_transfer_leadership (&r.raft, r.now_us);
   ck_assert (!lc_raft_can_read (&r.raft, r.now_us));
   ck_assert (take_message (&r, LC_RAFT_TIMEOUT_NOW, PEER, &m));
   ck_assert_int_eq (lc_raft_propose (&r.raft, NULL, r.now_us, NULL, NULL), LC_ERR_NOT_LEADER);
@@ -446,7 +446,7 @@
   lc_raft_init (&raft, &desc, 0);
   raft.commit_index = N_ENTRIES;
   while (lc_raft_next_committed (&raft) != NULL)
-    lc_raft_applied (&raft);
+    lc_raft_mark_applied (&raft);
   snapshot.index = N_ENTRIES;
   snapshot.term = 1;
   snapshot.config = three_members ();
@@ -499,7 +499,7 @@
   desc.commit_index = COMMIT_INDEXES[_i].commit_index;
   lc_raft_init (&raft, &desc, 0);
   for (; lc_raft_next_committed (&raft) != NULL; n++)
-    lc_raft_applied (&raft);
+    lc_raft_mark_applied (&raft);
   ck_assert_msg (n == COMMIT_INDEXES[_i].expected, "%s: %u", COMMIT_INDEXES[_i].what, (unsigned)n);
   /* It neither leads nor serves lease reads. */
   ck_assert (!lc_raft_is_leader (&raft));
@@ -535,7 +535,7 @@
 
   start (&r, 4, NULL, 0);
   if (FRESH_ELECTIONS[_i].gone != 0)
-    lc_raft_note_ended (&r.raft, FRESH_ELECTIONS[_i].gone);
+    lc_raft_mark_gone (&r.raft, FRESH_ELECTIONS[_i].gone);
   advance (&r, FRESH_ELECTIONS[_i].replies_us);
   for (int i = 0; i < 2 && FRESH_ELECTIONS[_i].grants[i] != 0; i++)
     {
@@ -682,7 +682,7 @@
   ck_assert (lc_raft_is_leader (&r.raft));
   advance (&r, 200000);
   ck_assert (!lc_raft_is_leader (&r.raft));
-  ck_assert_int_ge (lc_raft_silence_us (&r.raft), 400000);
+  ck_assert_int_ge (lc_raft_leader_silence_us (&r.raft), 400000);
   lc_raft_finish (&r.raft);
 }
 END_TEST
--- a/tests/control/test-store.c
+++ b/tests/control/test-store.c
@@ -67,12 +67,12 @@
 {
   LcFakeDisk *fake = lc_fake_disk_new (1);
   LcError error = { 0 };
-  LcStoreFound found;
+  LcStoreRecovered found;
   LcStore store;
 
   open_store (&store, fake, segment_bytes);
   ck_assert_int_eq (lc_store_open (&store, &found, &error), 0);
-  lc_store_found_finish (&found);
+  lc_store_recovered_finish (&found);
   ck_assert_int_eq (lc_store_format (&store, REPLICA, &error), 0);
   for (uint64_t i = 0; i < N_BATCHES; i++)
     ck_assert_int_eq (write_batch (&store, 1 + 2 * i, 2, 3, has_commit_index ? 2 * i : 0, &error),
@@ -90,7 +90,7 @@
 static int
 recover (LcFakeDisk *fake, uint32_t segment_bytes, uint64_t *n_entries, LcError *error)
 {
-  LcStoreFound found;
+  LcStoreRecovered found;
   LcStore store;
   int r;
 
@@ -103,7 +103,7 @@
       ck_assert_uint_eq (found.term, 3);
       ck_assert_uint_eq (found.vote, 7);
     }
-  lc_store_found_finish (&found);
+  lc_store_recovered_finish (&found);
   lc_store_finish (&store);
   return r;
 }
@@ -131,7 +131,7 @@
       LcFakeDisk *fake = make_folder_with (CASES[i].segment_bytes, true);
       GByteArray *newest = lc_fake_disk_bytes (fake, lc_fake_disk_newest_segment (fake));
       LcError error = { 0 };
-      LcStoreFound found;
+      LcStoreRecovered found;
       LcStore store;
 
       g_byte_array_set_size (newest, newest->len - CASES[i].cut_bytes);
@@ -140,7 +140,7 @@
       ck_assert_msg (found.commit_index == CASES[i].commit_index, "%s: %u", CASES[i].what,
                      (unsigned)found.commit_index);
       ck_assert_uint_le (found.commit_index, found.entries->len);
-      lc_store_found_finish (&found);
+      lc_store_recovered_finish (&found);
       lc_store_finish (&store);
       lc_fake_disk_free (fake);
     }
@@ -241,7 +241,7 @@
 {
   LcFakeDisk *fake = make_folder (1 << 20);
   LcError error = { 0 };
-  LcStoreFound found;
+  LcStoreRecovered found;
   LcStore store;
   uint64_t n_entries = 0;
 
@@ -249,7 +249,7 @@
   open_store (&store, fake, 1 << 20);
   ck_assert_int_eq (lc_store_open (&store, &found, &error), 0);
   ck_assert_uint_eq (store.counters.torn_total, 1);
-  lc_store_found_finish (&found);
+  lc_store_recovered_finish (&found);
   ck_assert_int_eq (write_entries (&store, 2 * N_BATCHES, 3, 3, &error), 0);
   lc_store_finish (&store);
   ck_assert_int_eq (recover (fake, 1 << 20, &n_entries, &error), 0);
@@ -264,13 +264,13 @@
 {
   LcFakeDisk *fake = make_folder (1 << 20);
   LcError error = { 0 };
-  LcStoreFound found;
+  LcStoreRecovered found;
   LcStore store;
   uint64_t n_entries = 0;
 
   open_store (&store, fake, 1 << 20);
   ck_assert_int_eq (lc_store_open (&store, &found, &error), 0);
-  lc_store_found_finish (&found);
+  lc_store_recovered_finish (&found);
   fake->bytes_left = 50;
   ck_assert_int_eq (write_entries (&store, 13, 2, 3, &error), LC_ERR_FULL);
   ck_assert_uint_gt (strlen (error.remedy), 0);
@@ -289,13 +289,13 @@
 {
   LcFakeDisk *fake = make_folder (1 << 20);
   LcError error = { 0 };
-  LcStoreFound found;
+  LcStoreRecovered found;
   LcStore store;
   uint64_t n_entries = 0;
 
   open_store (&store, fake, 1 << 20);
   ck_assert_int_eq (lc_store_open (&store, &found, &error), 0);
-  lc_store_found_finish (&found);
+  lc_store_recovered_finish (&found);
   fake->syncs_left = 0;
   ck_assert_int_eq (write_entries (&store, 13, 2, 3, &error), LC_ERR_IO);
   fake->syncs_left = -1;
@@ -317,14 +317,14 @@
   LcFakeDisk *fake = make_folder (300);
   LcRaftSnapshot snapshot = { .index = 9, .term = 3 };
   LcError error = { 0 };
-  LcStoreFound found;
+  LcStoreRecovered found;
   LcStore store;
   uint64_t n_entries = 0;
   uint64_t first;
 
   open_store (&store, fake, 300);
   ck_assert_int_eq (lc_store_open (&store, &found, &error), 0);
-  lc_store_found_finish (&found);
+  lc_store_recovered_finish (&found);
   first = store.first_segment;
   snapshot.data = g_bytes_new_static ("state", 5);
   ck_assert_int_eq (lc_store_save_snapshot (&store, &snapshot, &error), 0);
@@ -342,13 +342,13 @@
   LcFakeDisk *fake = make_folder (1 << 20);
   LcRaftPersist persist = { .sequence = 9 };
   LcError error = { 0 };
-  LcStoreFound found;
+  LcStoreRecovered found;
   LcStore store;
   uint64_t n_entries = 0;
 
   open_store (&store, fake, 1 << 20);
   ck_assert_int_eq (lc_store_open (&store, &found, &error), 0);
-  lc_store_found_finish (&found);
+  lc_store_recovered_finish (&found);
   persist.snapshot.index = 40;
   persist.snapshot.term = 3;
   persist.snapshot.data = g_bytes_new_static ("state", 5);
@@ -371,7 +371,7 @@
       {
         LcFakeDisk *fake = make_folder (512);
         LcError error = { 0 };
-        LcStoreFound found;
+        LcStoreRecovered found;
         LcStore store;
 
         fake->random = seed;
@@ -388,7 +388,7 @@
             found.replica == 0 ? found.entries->len == 0 : found.entries->len == 2 * N_BATCHES,
             "%d syncs, seed %d: %u entries", (int)n_syncs, (int)seed, found.entries->len);
         ck_assert (n_syncs < 4 || found.replica == 0);
-        lc_store_found_finish (&found);
+        lc_store_recovered_finish (&found);
         lc_store_finish (&store);
         lc_fake_disk_free (fake);
       }
--- a/tests/fakes/lc-fake-cluster.c
+++ b/tests/fakes/lc-fake-cluster.c
@@ -177,7 +177,7 @@
 }
 
 static void
-lc_fake__start_raft (LcFakeCluster *c, LcFakeNode *n, const LcStoreFound *found)
+lc_fake__start_raft (LcFakeCluster *c, LcFakeNode *n, const LcStoreRecovered *found)
 {
   LcRaftDesc desc = { .id = n->id,
                       .seed = c->desc.seed + n->epoch,
@@ -205,7 +205,7 @@
 {
   LcFakeNode *n = &c->nodes[node];
   LcStoreDesc desc = { .segment_bytes = c->desc.segment_bytes };
-  LcStoreFound found;
+  LcStoreRecovered found;
   LcError error = { 0 };
   int r;
 
@@ -222,7 +222,7 @@
       c->verdict.refused_recoveries++;
       lc_store_finish (&n->store);
     }
-  lc_store_found_finish (&found);
+  lc_store_recovered_finish (&found);
   return r;
 }
 
@@ -269,7 +269,7 @@
   lc_store_init (&store, &desc);
   lc_fake__initial (c, &initial);
   (void)lc_store_format (&store, n->id, NULL);
-  (void)lc_store_form (&store, LC_FAKE_CLUSTER_ID, is_founder ? &initial : NULL, NULL);
+  (void)lc_store_set_cluster (&store, LC_FAKE_CLUSTER_ID, is_founder ? &initial : NULL, NULL);
   lc_store_finish (&store);
 }
 
--- a/tests/fakes/lc-fake-member.c
+++ b/tests/fakes/lc-fake-member.c
@@ -55,7 +55,7 @@
             c->desc.applied (c->desc.user, (uint32_t)(n - c->nodes),
                              (const LcViewOp *)n->state.ops->data, n->state.ops->len, c->now_us);
         }
-      lc_raft_applied (&n->raft);
+      lc_raft_mark_applied (&n->raft);
     }
 }
 
@@ -142,7 +142,7 @@
     }
   lc_raft_suspend (&n->raft, false, lc_fake__clock (c, n));
   n->is_writing = false;
-  lc_raft_persisted (&n->raft, n->persist.sequence, lc_fake__clock (c, n));
+  lc_raft_mark_persisted (&n->raft, n->persist.sequence, lc_fake__clock (c, n));
   lc_raft_persist_finish (&n->persist);
   lc_fake__pump (c, n);
 }
--- a/tests/flow/prop-evacuation.cc
+++ b/tests/flow/prop-evacuation.cc
@@ -182,7 +182,7 @@
               delayed.push_back ({ is_wanted, order.seen_revision });
               continue;
             }
-          if (lc_evacuation_decide (&order, &dc) == LC_EVACUATION_OVERTAKEN)
+          if (lc_evacuation_decide (&order, &dc) == LC_EVACUATION_SUPERSEDED)
             continue;
           dc.is_evacuated = is_wanted;
           dc.evacuation_revision = ++revision;
--- a/tests/flow/prop-flow-work.cc
+++ b/tests/flow/prop-flow-work.cc
@@ -135,7 +135,7 @@
 {
   LcPacket p = packet_of (flow, false);
 
-  p.key = lc_flow_return_key (&p);
+  p.key = lc_flow_return_caller_key (&p);
   return p;
 }
 
@@ -159,7 +159,7 @@
   e.hops_left = 20;
   e.n = 1;
   e.candidates[0] = w.agent.desc.self;
-  action = lc_flow_agent_packet (&w.agent, &e, &p, w.now_us);
+  action = lc_flow_agent_handle_packet (&w.agent, &e, &p, w.now_us);
   if (action.kind == LC_FLOW_ACTION_HOLD)
     w.held.insert (action.hold_flow);
   return action;
@@ -209,7 +209,7 @@
     }
   accept.is_accept = true;
   accept.acknowledged = 1;
-  (void)lc_flow_return_answered (&w.agent, &accept, w.now_us);
+  (void)lc_flow_return_handle_response (&w.agent, &accept, w.now_us);
 }
 
 void
@@ -222,7 +222,7 @@
   p.is_reset = is_end && w.sent[flow] % 2 == 0;
   if (!is_end)
     p.total_len = 34 + 1000;
-  (void)lc_flow_return_answered (&w.agent, &p, w.now_us);
+  (void)lc_flow_return_handle_response (&w.agent, &p, w.now_us);
   w.answered[flow] = w.sent[flow];
   w.open.erase (flow);
 }
@@ -259,7 +259,7 @@
       break;
     case RETURN:
       p.is_returned = true;
-      (void)lc_flow_return_returned (&w.agent, &e, &p, w.now_us);
+      (void)lc_flow_return_handle_returned (&w.agent, &e, &p, w.now_us);
       break;
     case TAKEN_BY_PEER:
       m.kind = LC_FLOW_POINTERS;
@@ -269,7 +269,7 @@
       m.n = 1;
       m.entries[0].key = p.key;
       m.entries[0].epoch = 9;
-      lc_flow_agent_message (&w.agent, &m, w.now_us);
+      lc_flow_agent_handle_message (&w.agent, &m, w.now_us);
       break;
     case RESTART:
       lc_flow_agent_finish (&w.agent);
@@ -301,7 +301,7 @@
     for (const Step &s : order)
       {
         carry_out (w, s);
-        RC_ASSERT (lc_flow_agent_at_work (&w.agent) <= w.open.size ());
+        RC_ASSERT (lc_flow_agent_unanswered_requests (&w.agent) <= w.open.size ());
         RC_ASSERT (lc_flow_gate_n_waiting (&w.agent.gate) == w.held.size ());
       }
     /* Unanswered requests stop counting; waiting ones pass or are dropped. */
@@ -312,7 +312,7 @@
         drain (w);
       }
     RC_ASSERT (w.held.empty ());
-    RC_ASSERT (lc_flow_agent_at_work (&w.agent) == 0U);
+    RC_ASSERT (lc_flow_agent_unanswered_requests (&w.agent) == 0U);
   });
   return ok ? 0 : 1;
 }
--- a/tests/flow/return-world.c
+++ b/tests/flow/return-world.c
@@ -242,7 +242,7 @@
   out.key.source_port = p->key.target_port;
   out.key.target_ipv4 = p->key.source_ipv4;
   out.key.target_port = p->key.source_port;
-  lc_flow_return_answered (&w->nodes[at].agent, &out, w->now_us);
+  lc_flow_return_handle_response (&w->nodes[at].agent, &out, w->now_us);
 }
 
 static void
@@ -263,11 +263,11 @@
   else if (!p->may_open && n->holds[rw_flow_of (p)] && n->is_failing)
     {
       n->holds[rw_flow_of (p)] = false;
-      back.key = lc_flow_return_key (p);
+      back.key = lc_flow_return_caller_key (p);
       back.is_reset = true;
       back.is_last = true;
       back.total_len = back.payload_start;
-      lc_flow_return_answered (&n->agent, &back, w->now_us);
+      lc_flow_return_handle_response (&n->agent, &back, w->now_us);
       return;
     }
   else if (!p->may_open && n->holds[rw_flow_of (p)])
@@ -276,7 +276,7 @@
     {
       back.is_returned = true;
       back.mark = mark;
-      action = lc_flow_return_returned (&n->agent, &e, &back, w->now_us);
+      action = lc_flow_return_handle_returned (&n->agent, &e, &back, w->now_us);
       rw_carry_out (w, at, &action, &e, p);
       return;
     }
@@ -291,7 +291,7 @@
   g_assert (w->n_steps++ < w->max_steps);
   if (!w->nodes[at].is_up)
     return;
-  action = lc_flow_agent_packet (&w->nodes[at].agent, &e, p, w->now_us);
+  action = lc_flow_agent_handle_packet (&w->nodes[at].agent, &e, p, w->now_us);
   rw_carry_out (w, at, &action, &e, p);
 }
 
@@ -306,7 +306,7 @@
         LcPacket kept = w->nodes[at].kept[next.slot];
         LcEnvelope e;
 
-        lc_flow_return_search (&w->nodes[at].agent, &next.to[i], &e);
+        lc_flow_return_fill_search_envelope (&w->nodes[at].agent, &next.to[i], &e);
         rw_arrive (w, (int)next.to[i].ipv4, e, &kept);
       }
 }
@@ -318,7 +318,7 @@
 
   w->n_searches++;
   if (n->kept == NULL)
-    n->kept = g_new0 (LcPacket, LC_FLOW_SEARCHES);
+    n->kept = g_new0 (LcPacket, LC_FLOW_SEARCHES_MAX);
   n->kept[action->search.slot] = *p;
   rw_try_searched (w, at);
   if (action->search.is_local)
@@ -366,14 +366,15 @@
         {
           w->n_steps = 0;
           rw_try_searched (w, i);
-          while (w->nodes[i].is_up && lc_flow_agent_next (&w->nodes[i].agent, &m, w->now_us))
+          while (w->nodes[i].is_up &&
+                 lc_flow_agent_next_message (&w->nodes[i].agent, &m, w->now_us))
             {
               has_sent = true;
               w->n_messages++;
               if (w->lose_each != 0 && w->n_messages % w->lose_each == 0)
                 continue;
               if (w->nodes[m.to.ipv4].is_up)
-                lc_flow_agent_message (&w->nodes[m.to.ipv4].agent, &m, w->now_us);
+                lc_flow_agent_handle_message (&w->nodes[m.to.ipv4].agent, &m, w->now_us);
             }
         }
     }
--- a/tests/flow/return-world.h
+++ b/tests/flow/return-world.h
@@ -63,8 +63,8 @@
   void rw_place (RwWorld *w, int i, LcDcId dc);
   /* Changes the newest view only, until it is shown. */
   void rw_evacuate (RwWorld *w, LcDcId dc, bool is_evacuated);
-  /* Sets the data centre's region, and the regions that take new flows (lc-homes.h), in the newest
-   * view only, until it is shown. */
+  /* Sets the data centre's region, and the regions that take new flows (lc-home-regions.h), in the
+   * newest view only, until it is shown. */
   void rw_put_region (RwWorld *w, LcDcId dc, const char *region);
   void rw_set_homes (RwWorld *w, const char *homes);
   /* Sets the rate limit of cold endpoints, in the newest view only, until it is shown. */
--- a/tests/flow/test-cold-limit.c
+++ b/tests/flow/test-cold-limit.c
@@ -1,5 +1,5 @@
 /* Warm-up rate limit, alone and in the admission queue. */
-#include "core/flow/lc-cold-limit.h"
+#include "core/flow/lc-warmup-limit.h"
 #include "core/flow/lc-flow-gate.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -50,7 +50,13 @@
     true,
     true,
     { { 1, 3, 1 }, { 1000, 3, 0 }, { 1100, 3, 1 } } },
-  { "rate above the maximum", 9000000, 0, 0, true, true, { { 1, 2000, LC_COLD_LIMIT_MOST } } },
+  { "rate above the maximum",
+    9000000,
+    0,
+    0,
+    true,
+    true,
+    { { 1, 2000, LC_WARMUP_LIMIT_MAX_RATE } } },
   { "agent start without overshoot or slack",
     10000,
     0,
@@ -77,22 +83,22 @@
 /* No window of a second gets more than the rate, wherever it begins. */
 START_TEST (test_any_window_keeps_the_rate)
 {
-  LcColdLimitDesc desc = { CASES[_i].overshoot_permille, CASES[_i].slack };
-  LcColdLimit limit;
+  LcWarmupLimitDesc desc = { CASES[_i].overshoot_permille, CASES[_i].slack };
+  LcWarmupLimit limit;
 
-  lc_cold_limit_init (&limit, &desc, 0);
+  lc_warmup_limit_init (&limit, &desc, 0);
   if (CASES[_i].is_known)
-    lc_cold_limit_know_all (&limit);
-  lc_cold_limit_set_rate (&limit, CASES[_i].rate_mrps);
-  lc_cold_limit_set_cold (&limit, CASES[_i].is_cold);
+    lc_warmup_limit_skip_first_window (&limit);
+  lc_warmup_limit_set_rate (&limit, CASES[_i].rate_mrps);
+  lc_warmup_limit_set_cold (&limit, CASES[_i].is_cold);
   for (int b = 0; b < N_BURSTS; b++)
     {
       uint32_t n = 0;
 
       for (uint32_t k = 0; k < CASES[_i].bursts[b].n_wanted; k++)
-        if (lc_cold_limit_has_room (&limit, CASES[_i].bursts[b].at_ms * MS))
+        if (lc_warmup_limit_allows (&limit, CASES[_i].bursts[b].at_ms * MS))
           {
-            lc_cold_limit_note (&limit, CASES[_i].bursts[b].at_ms * MS);
+            lc_warmup_limit_record (&limit, CASES[_i].bursts[b].at_ms * MS);
             n++;
           }
       ck_assert_msg (n == CASES[_i].bursts[b].n_granted, "%s: burst %d: %u", CASES[_i].what, b, n);
@@ -103,17 +109,17 @@
 /* After a restart of the server, grants from before it count against the rate. */
 START_TEST (test_grants_before_a_cold_start_count)
 {
-  LcColdLimitDesc desc = { 0 };
-  LcColdLimit limit;
+  LcWarmupLimitDesc desc = { 0 };
+  LcWarmupLimit limit;
 
-  lc_cold_limit_init (&limit, &desc, 0);
-  lc_cold_limit_know_all (&limit);
-  lc_cold_limit_set_rate (&limit, 5000);
+  lc_warmup_limit_init (&limit, &desc, 0);
+  lc_warmup_limit_skip_first_window (&limit);
+  lc_warmup_limit_set_rate (&limit, 5000);
   for (int k = 0; k < 20; k++)
-    lc_cold_limit_note (&limit, (2000 + k) * MS);
-  lc_cold_limit_set_cold (&limit, true);
-  ck_assert (!lc_cold_limit_has_room (&limit, 2100 * MS));
-  ck_assert (lc_cold_limit_has_room (&limit, 3100 * MS));
+    lc_warmup_limit_record (&limit, (2000 + k) * MS);
+  lc_warmup_limit_set_cold (&limit, true);
+  ck_assert (!lc_warmup_limit_allows (&limit, 2100 * MS));
+  ck_assert (lc_warmup_limit_allows (&limit, 3100 * MS));
 }
 END_TEST
 
@@ -129,22 +135,22 @@
 
   lc_flow_gate_init (&gate, &desc);
   lc_flow_gate_set_server (&gate, 2, 500 * MS);
-  lc_cold_limit_init (&gate.cold, &(LcColdLimitDesc){ 0 }, 0);
-  lc_cold_limit_know_all (&gate.cold);
-  lc_cold_limit_set_rate (&gate.cold, 3000);
-  lc_cold_limit_set_cold (&gate.cold, true);
+  lc_warmup_limit_init (&gate.cold, &(LcWarmupLimitDesc){ 0 }, 0);
+  lc_warmup_limit_skip_first_window (&gate.cold);
+  lc_warmup_limit_set_rate (&gate.cold, 3000);
+  lc_warmup_limit_set_cold (&gate.cold, true);
   for (uint32_t i = 1; i <= 20; i++)
     {
-      if (lc_flow_gate_request (&gate, i, MS, MS) != LC_FLOW_GATE_PASS)
+      if (lc_flow_gate_submit (&gate, i, MS, MS) != LC_FLOW_GATE_PASS)
         continue;
       n_passed++;
-      lc_flow_gate_end (&gate, i);
+      lc_flow_gate_remove (&gate, i);
     }
   ck_assert_uint_eq (n_passed, 3);
-  ck_assert (!lc_flow_gate_next (&gate, 900 * MS, &flow));
-  while (lc_flow_gate_next (&gate, 1060 * MS, &flow))
+  ck_assert (!lc_flow_gate_pass_next (&gate, 900 * MS, &flow));
+  while (lc_flow_gate_pass_next (&gate, 1060 * MS, &flow))
     {
-      lc_flow_gate_end (&gate, flow);
+      lc_flow_gate_remove (&gate, flow);
       n_later++;
     }
   ck_assert_uint_eq (n_later, 3);
--- a/tests/flow/test-flow-core.c
+++ b/tests/flow/test-flow-core.c
@@ -4,8 +4,8 @@
 #include "core/flow/lc-envelope.h"
 #include "core/flow/lc-flow-key.h"
 #include "core/flow/lc-flow-table.h"
-#include "core/flow/lc-packet-hold.h"
-#include "core/flow/lc-retarget.h"
+#include "core/flow/lc-packet-buffer.h"
+#include "core/flow/lc-dnat.h"
 #include "core/flow/lc-steer.h"
 #include "io/lc-flow-wire.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -134,7 +134,7 @@
 
         make_packet (p, PROTOCOLS[i], 0x02);
         ck_assert_int_eq (lc_packet_parse (&packet, p, len), 0);
-        lc_packet_retarget (p, &packet, 0x7f000001 + k * 77777U, (uint16_t)(k * 131));
+        lc_dnat_rewrite (p, &packet, 0x7f000001 + k * 77777U, (uint16_t)(k * 131));
         ck_assert_uint_eq (sum16 (p, 20, 0), 0xffff);
         ck_assert_uint_eq (sum16 (p + 12, len - 12, PROTOCOLS[i] + (uint32_t)len - 20), 0xffff);
         ck_assert_int_eq (lc_packet_parse (&packet, p, len), 0);
@@ -392,7 +392,7 @@
           deadline[i] = now + g_rand_int_range (random, 1, 900) * LC_US_PER_S;
           lc_flow_table_set_deadline (&table, f, deadline[i]);
         }
-      while ((f = lc_flow_table_due (&table, now)) != NULL)
+      while ((f = lc_flow_table_next_expired (&table, now)) != NULL)
         {
           ck_assert_int_le (deadline[f->key.source_ipv4], now);
           ck_assert_int_gt (deadline[f->key.source_ipv4], now - LC_US_PER_S);
@@ -468,10 +468,10 @@
                               .is_accepting = true,
                               .looks_bad = (CASES[c].bad & (1U << k)) != 0 };
 
-          lc_assign_report (&assign, &load, 0);
+          lc_assign_record_load (&assign, &load, 0);
           assign.peers[k].dc = k < 2 ? 1 : 2;
           if ((CASES[c].refusing & (1U << k)) != 0)
-            lc_assign_refused (&assign, 10 + k, 0);
+            lc_assign_record_refusal (&assign, 10 + k, 0);
         }
       i = lc_assign_choose (&assign, hash_of (1), CASES[c].dc, LC_REGIONS_ALL, 1);
       ck_assert_msg ((i < 0 ? -1 : (int)assign.peers[i].agent.id) == CASES[c].expected, "%s: %d",
@@ -571,12 +571,12 @@
                            .is_settled = CASES[i].is_settled };
       LcEnvelope e = make_envelope ();
       LcPacket packet = { .may_open = CASES[i].may_open };
-      LcSteerKnown known = { .kind = CASES[i].kind,
+      LcSteerEntry known = { .kind = CASES[i].kind,
                              .other = { CASES[i].other, 0, 100, 0 },
                              .is_live = true,
                              .is_confirmed = CASES[i].is_confirmed,
                              .rank = CASES[i].rank };
-      LcSteer s;
+      LcSteerDecision s;
       int detail;
 
       e.mode = CASES[i].mode;
@@ -587,7 +587,7 @@
       e.set_rank = CASES[i].is_settled ? UINT64_MAX : 50;
       e.stray_id = CASES[i].stray;
       e.stray_instance = 100;
-      s = lc_steer (&self, &e, &packet, &known);
+      s = lc_steer_decide (&self, &e, &packet, &known);
       detail = s.kind == LC_STEER_NEXT                                ? s.next.hop
                : s.kind == LC_STEER_DROP || s.kind == LC_STEER_REFUSE ? (int)s.reason
                : s.kind >= LC_STEER_DEFER && s.kind <= LC_STEER_OPEN  ? (int)s.to.id
@@ -631,10 +631,10 @@
 } BUFFERED[] = {
   { 0, 100, 0, 0, 0 },
   { 1, 100, 0, 0, 1 },
-  { 3, LC_PACKET_HOLD_BYTES, 3, 0, 3 },
-  { 3, LC_PACKET_HOLD_BYTES + 1, 3, 0, 0 },
-  { LC_PACKET_HOLD_MAX, 40, 300, 0, LC_PACKET_HOLD_MAX },
-  { LC_PACKET_HOLD_MAX + 7, 40, 300, 7, LC_PACKET_HOLD_MAX },
+  { 3, LC_PACKET_BUFFER_BYTES, 3, 0, 3 },
+  { 3, LC_PACKET_BUFFER_BYTES + 1, 3, 0, 0 },
+  { LC_PACKET_BUFFER_MAX, 40, 300, 0, LC_PACKET_BUFFER_MAX },
+  { LC_PACKET_BUFFER_MAX + 7, 40, 300, 7, LC_PACKET_BUFFER_MAX },
   { 10, 40, 1205, 5, 5 }, /* those that arrived within the last 1.2 s */
   { 10, 40, 1209, 9, 1 },
   { 10, 40, 1210, 0, 0 },
@@ -643,17 +643,17 @@
 /* The oldest, expired and oversized packets are dropped and counted. */
 START_TEST (test_packet_buffer)
 {
-  uint8_t bytes[LC_PACKET_HOLD_BYTES + 1] = { 0 };
-  LcPacketHold hold = { 0 };
-  LcHeldPacket *packet;
+  uint8_t bytes[LC_PACKET_BUFFER_BYTES + 1] = { 0 };
+  LcPacketBuffer hold = { 0 };
+  LcBufferedPacket *packet;
   uint32_t n_out = 0;
 
   for (uint32_t i = 0; i < BUFFERED[_i].n; i++)
     {
       memcpy (bytes, &i, sizeof i);
-      lc_packet_hold_put (&hold, bytes, BUFFERED[_i].len, (int64_t)i * LC_US_PER_MS);
+      lc_packet_buffer_put (&hold, bytes, BUFFERED[_i].len, (int64_t)i * LC_US_PER_MS);
     }
-  while ((packet = lc_packet_hold_next (&hold, BUFFERED[_i].at_ms * LC_US_PER_MS)) != NULL)
+  while ((packet = lc_packet_buffer_take (&hold, BUFFERED[_i].at_ms * LC_US_PER_MS)) != NULL)
     {
       uint32_t number;
 
--- a/tests/flow/test-flow-evacuation.c
+++ b/tests/flow/test-flow-evacuation.c
@@ -130,9 +130,9 @@
       rw_evacuate (&w, STAYING, CASES[i].is_evacuated);
       lc_assign_init (&assign, &desc);
       lc_assign_set_members (&assign, lc_view_service (&w.view, 1), 1, 0);
-      lc_assign_set_places (&assign, &w.view);
+      lc_assign_update_dcs (&assign, &w.view);
       for (LcEndpointId id = 1; id <= 4 && CASES[i].is_refusing; id++)
-        lc_assign_refused (&assign, id, 1);
+        lc_assign_record_refusal (&assign, id, 1);
       chosen = lc_assign_choose (&assign, 5, 0, LC_REGIONS_ALL, 2);
       ck_assert_msg ((chosen >= 0) == (CASES[i].reason == LC_DROP_NONE), "%s", CASES[i].what);
       if (chosen < 0)
@@ -178,7 +178,7 @@
       e.target_id = 1;
       e.target_instance = 101;
       e.candidates[0] = (LcCandidate){ 2, 2, 102, 7100 };
-      action = lc_flow_agent_packet (&agent, &e, &first, 2);
+      action = lc_flow_agent_handle_packet (&agent, &e, &first, 2);
       ck_assert_int_eq (action.kind, is_evacuated ? LC_FLOW_ACTION_SEND : LC_FLOW_ACTION_DELIVER);
       ck_assert_int_eq (e.mode, is_evacuated ? LC_MODE_REFUSED : LC_MODE_OPEN);
     }
--- a/tests/flow/test-flow-finder.c
+++ b/tests/flow/test-flow-finder.c
@@ -260,7 +260,7 @@
 
 START_TEST (test_queries_to_silent_endpoints_are_bounded)
 {
-  uint64_t n_rounds = (uint64_t)(SILENT[_i].for_us / LC_FLOW_ROUND_US) + 1;
+  uint64_t n_rounds = (uint64_t)(SILENT[_i].for_us / LC_FLOW_ROUND_INTERVAL_US) + 1;
   uint64_t n_retries = (uint64_t)(SILENT[_i].for_us / LC_FLOW_ROUND_RETRY_US) + 1;
   uint64_t n_silent = (uint64_t)SILENT[_i].n_silent;
   uint64_t max_queries = ((uint64_t)SILENT[_i].n - n_silent) * n_rounds + n_silent * n_retries;
--- a/tests/flow/test-flow-gate.c
+++ b/tests/flow/test-flow-gate.c
@@ -1,6 +1,6 @@
 /* Admission queue: which requests pass, wait or are dropped; a backlog after an outage. */
 #include "core/flow/lc-flow-gate.h"
-#include "core/flow/lc-flow-returners.h"
+#include "core/flow/lc-flow-reconnects.h"
 #include "tests/fakes/lc-fake-run.h"
 
 #include <check.h>
@@ -203,13 +203,13 @@
   switch (s->kind)
     {
     case ASK:
-      return lc_flow_gate_request (gate, s->flow, s->began_ms * MS, now_us);
+      return lc_flow_gate_submit (gate, s->flow, s->began_ms * MS, now_us);
     case NEXT:
-      return lc_flow_gate_next (gate, now_us, &flow) ? flow : 0;
+      return lc_flow_gate_pass_next (gate, now_us, &flow) ? flow : 0;
     case GIVE_UP:
-      return lc_flow_gate_give_up (gate, now_us, &flow) ? flow : 0;
+      return lc_flow_gate_drop_expired (gate, now_us, &flow) ? flow : 0;
     case END:
-      lc_flow_gate_end (gate, s->flow);
+      lc_flow_gate_remove (gate, s->flow);
       return 0;
     case END_OF_STEPS:
       break;
@@ -245,8 +245,8 @@
   lc_flow_gate_init (&gate, &desc);
   lc_flow_gate_set_server (&gate, 1, OBJECTIVE_MS * MS);
   for (uint32_t flow = 1; flow <= 4; flow++)
-    (void)lc_flow_gate_request (&gate, flow, flow == 4 ? -600 * MS : 0, 0);
-  ck_assert_uint_eq (lc_flow_gate_n_working (&gate), 2);
+    (void)lc_flow_gate_submit (&gate, flow, flow == 4 ? -600 * MS : 0, 0);
+  ck_assert_uint_eq (lc_flow_gate_n_in_flight (&gate), 2);
   ck_assert_uint_eq (lc_flow_gate_n_waiting (&gate), 2);
   ck_assert_uint_eq (lc_flow_gate_load (&gate, 0), 3);
   ck_assert_uint_eq (lc_flow_gate_load (&gate, 401 * MS), 2);
@@ -257,25 +257,25 @@
 /* A caller counts as returning once for each flow it lost, and only for 250 ms. */
 START_TEST (test_returning_callers)
 {
-  static LcFlowReturners r;
+  static LcFlowReconnects r;
   int64_t now_us = 7000 * MS;
 
   memset (&r, 0, sizeof r);
-  ck_assert (!lc_flow_returners_take (&r, 1, now_us));
-  lc_flow_returners_lost (&r, 1, now_us);
-  lc_flow_returners_lost (&r, 1, now_us + 10 * MS);
-  lc_flow_returners_lost (&r, 2, now_us + 20 * MS);
-  ck_assert (!lc_flow_returners_take (&r, 3, now_us + 30 * MS));
-  ck_assert (lc_flow_returners_take (&r, 1, now_us + 30 * MS));
-  ck_assert (lc_flow_returners_take (&r, 1, now_us + 30 * MS));
-  ck_assert (!lc_flow_returners_take (&r, 1, now_us + 30 * MS));
-  ck_assert (!lc_flow_returners_take (&r, 2, now_us + 271 * MS));
+  ck_assert (!lc_flow_reconnects_take (&r, 1, now_us));
+  lc_flow_reconnects_add (&r, 1, now_us);
+  lc_flow_reconnects_add (&r, 1, now_us + 10 * MS);
+  lc_flow_reconnects_add (&r, 2, now_us + 20 * MS);
+  ck_assert (!lc_flow_reconnects_take (&r, 3, now_us + 30 * MS));
+  ck_assert (lc_flow_reconnects_take (&r, 1, now_us + 30 * MS));
+  ck_assert (lc_flow_reconnects_take (&r, 1, now_us + 30 * MS));
+  ck_assert (!lc_flow_reconnects_take (&r, 1, now_us + 30 * MS));
+  ck_assert (!lc_flow_reconnects_take (&r, 2, now_us + 271 * MS));
   /* A full table drops the oldest. */
-  lc_flow_returners_lost (&r, 9, now_us + 300 * MS);
-  for (uint32_t i = 0; i < LC_FLOW_RETURNERS_MAX; i++)
-    lc_flow_returners_lost (&r, 100 + i, now_us + 300 * MS);
-  ck_assert (!lc_flow_returners_take (&r, 9, now_us + 300 * MS));
-  ck_assert (lc_flow_returners_take (&r, 100, now_us + 300 * MS));
+  lc_flow_reconnects_add (&r, 9, now_us + 300 * MS);
+  for (uint32_t i = 0; i < LC_FLOW_RECONNECTS_MAX; i++)
+    lc_flow_reconnects_add (&r, 100 + i, now_us + 300 * MS);
+  ck_assert (!lc_flow_reconnects_take (&r, 9, now_us + 300 * MS));
+  ck_assert (lc_flow_reconnects_take (&r, 100, now_us + 300 * MS));
 }
 END_TEST
 
@@ -335,7 +335,7 @@
   else
     {
       r->n_refused++;
-      lc_flow_gate_end (&r->gate, request);
+      lc_flow_gate_remove (&r->gate, request);
     }
 }
 
@@ -347,7 +347,7 @@
   r->requests[request].began_ms = began_ms;
   r->n_new += began_ms >= 0;
   if (!r->has_gate ||
-      lc_flow_gate_request (&r->gate, request, began_ms * MS, now_ms * MS) == LC_FLOW_GATE_PASS)
+      lc_flow_gate_submit (&r->gate, request, began_ms * MS, now_ms * MS) == LC_FLOW_GATE_PASS)
     give_to_server (r, request, now_ms);
 }
 
@@ -366,7 +366,7 @@
         }
       r->n_new_in_time += a->began_ms >= 0 && now_ms - a->began_ms <= AIM_MS;
       r->at_work[i] = r->at_work[--r->n_at_work];
-      lc_flow_gate_end (&r->gate, request);
+      lc_flow_gate_remove (&r->gate, request);
       if (r->n_queued == 0)
         continue;
       start_work (r, r->queue[0], now_ms);
@@ -392,9 +392,9 @@
         send_request (r, now_ms - 1 - (now_ms * 7919) % BACKLOG_MS, now_ms);
       if (now_ms % NEW_EACH_MS == 0 && now_ms < SIMULATED_MS)
         send_request (r, now_ms, now_ms);
-      while (r->has_gate && lc_flow_gate_next (&r->gate, now_ms * MS, &flow))
+      while (r->has_gate && lc_flow_gate_pass_next (&r->gate, now_ms * MS, &flow))
         give_to_server (r, flow, now_ms);
-      while (lc_flow_gate_give_up (&r->gate, now_ms * MS, &flow))
+      while (lc_flow_gate_drop_expired (&r->gate, now_ms * MS, &flow))
         ;
     }
   lc_flow_gate_finish (&r->gate);
--- a/tests/flow/test-flow-homes.c
+++ b/tests/flow/test-flow-homes.c
@@ -160,8 +160,8 @@
       e.target_instance = desc.self.instance;
       e.candidates[0] = desc.self;
       e.candidates[1] = (LcCandidate){ 2, 1, 101, 7100 };
-      ck_assert_msg (lc_flow_agent_packet (&agent, &e, &first, 1).kind == OPENED[i].kind, "%s",
-                     OPENED[i].homes);
+      ck_assert_msg (lc_flow_agent_handle_packet (&agent, &e, &first, 1).kind == OPENED[i].kind,
+                     "%s", OPENED[i].homes);
       lc_flow_agent_finish (&agent);
       rw_stop (&w);
     }
@@ -177,7 +177,7 @@
 
   start_in_two_regions (&w);
   lc_candidate_sets_compile (&sets, lc_view_service (&w.view, 1));
-  lc_candidate_sets_place (&sets, &w.view);
+  lc_candidate_sets_set_regions (&sets, &w.view);
   north = lc_view_home_regions (&w.view, "north");
   for (uint64_t key = 1; key <= 200; key++)
     {
@@ -230,7 +230,7 @@
 
       op.address.service_id = OPS[i].service_id;
       (void)g_strlcpy (op.address.homes, OPS[i].homes, sizeof op.address.homes);
-      ck_assert_msg (lc_scope_wants (&scope, &op) == OPS[i].is_wanted, "%s", OPS[i].what);
+      ck_assert_msg (lc_scope_includes (&scope, &op) == OPS[i].is_wanted, "%s", OPS[i].what);
     }
   lc_scope_snapshot (&scope, &w.view, count_addresses, &n);
   ck_assert_int_eq (n, 0);
@@ -266,11 +266,12 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (ADDED); i++)
     {
-      char homes[LC_HOMES_BYTES];
+      char homes[LC_HOME_REGIONS_BYTES];
       LcError error = { 0 };
 
       (void)g_strlcpy (homes, ADDED[i].homes, sizeof homes);
-      ck_assert_msg (lc_homes_add (homes, ADDED[i].region, &error) == ADDED[i].result, "%zu", i);
+      ck_assert_msg (lc_home_regions_add (homes, ADDED[i].region, &error) == ADDED[i].result, "%zu",
+                     i);
       ck_assert_str_eq (homes, ADDED[i].after);
       ck_assert ((error.remedy[0] != '\0') == (ADDED[i].result < 0));
     }
