--- a/tests/flow/test-flow-owner.c
+++ b/tests/flow/test-flow-owner.c
@@ -1,6 +1,6 @@
 /* An agent keeps its owned flows, whichever packet reaches its address.
  *
- *   Guards against a crash in lc_flow_pointers_flush, where the queue of registrations had a
+ *   Guards against a crash in lc_flow_pointers_send_due, where the queue of registrations had a
  *   count and no head.  The agent owned a flow that was still queued.  A second copy of its first
  *   packet, addressed to an earlier process at this address, was not looked up; its walk ended
  *   here, and the owned entry was overwritten with a PENDING one ("packet 1 walk to 11#11 hop 2 of
@@ -104,7 +104,8 @@
   LcEnvelope e = envelope_for (&THIS, LC_MODE_OPEN);
   LcPacket first = packet_of (true);
 
-  ck_assert_int_eq (lc_flow_agent_packet (&w->agent, &e, &first, 2).kind, LC_FLOW_ACTION_DELIVER);
+  ck_assert_int_eq (lc_flow_agent_handle_packet (&w->agent, &e, &first, 2).kind,
+                    LC_FLOW_ACTION_DELIVER);
   ck_assert_uint_eq (w->agent.table.n_owned, 1);
   ck_assert_uint_eq (w->agent.table.n_queued, 1);
 }
@@ -144,9 +145,9 @@
   e.n = 3;
   e.hop = 2; /* the walk ends here */
   e.assigner = CASES[_i].assigner;
-  action = lc_flow_agent_packet (&w.agent, &e, &copy, 3);
-  ck_assert_msg (lc_flow_table_fault (&w.agent.table) == NULL, "%s: %s", CASES[_i].what,
-                 lc_flow_table_fault (&w.agent.table));
+  action = lc_flow_agent_handle_packet (&w.agent, &e, &copy, 3);
+  ck_assert_msg (lc_flow_table_check (&w.agent.table) == NULL, "%s: %s", CASES[_i].what,
+                 lc_flow_table_check (&w.agent.table));
   ck_assert_msg (action.kind == CASES[_i].expected, "%s: action %d", CASES[_i].what, action.kind);
   ck_assert_msg (w.agent.table.n_owned == 1 && w.agent.table.n_queued == 1, "%s", CASES[_i].what);
   lc_flow_agent_tick (&w.agent, LC_US_PER_S);
@@ -166,14 +167,15 @@
   start (&w, true);
   own_flow (&w);
   last.is_last = true;
-  ck_assert_int_eq (lc_flow_agent_packet (&w.agent, &e, &last, 3).kind, LC_FLOW_ACTION_DELIVER);
+  ck_assert_int_eq (lc_flow_agent_handle_packet (&w.agent, &e, &last, 3).kind,
+                    LC_FLOW_ACTION_DELIVER);
   lc_flow_agent_leave (&w.agent);
   e = envelope_for (&THIS, LC_MODE_WALK);
-  action = lc_flow_agent_packet (&w.agent, &e, &again, 4);
+  action = lc_flow_agent_handle_packet (&w.agent, &e, &again, 4);
   ck_assert_int_eq (action.kind, LC_FLOW_ACTION_SEND);
   ck_assert_uint_eq (e.target_id, OTHER);
-  ck_assert_msg (lc_flow_table_fault (&w.agent.table) == NULL, "%s",
-                 lc_flow_table_fault (&w.agent.table));
+  ck_assert_msg (lc_flow_table_check (&w.agent.table) == NULL, "%s",
+                 lc_flow_table_check (&w.agent.table));
   ck_assert_uint_eq (lc_flow_agent_open_flows (&w.agent), 0);
   lc_flow_agent_tick (&w.agent, LC_US_PER_S);
   stop (&w);
--- a/tests/flow/test-flow-return.c
+++ b/tests/flow/test-flow-return.c
@@ -119,7 +119,7 @@
   lc_flow_agent_leave (&w.nodes[0].agent);
   rw_open_flows (&w);
   ck_assert_uint_eq (w.nodes[0].n_firsts, 0);
-  lc_flow_agent_stay (&w.nodes[0].agent);
+  lc_flow_agent_cancel_leave (&w.nodes[0].agent);
   rw_open_flows (&w);
   ck_assert_uint_eq (w.nodes[0].n_firsts, RW_N_FLOWS);
   rw_stop (&w);
@@ -219,7 +219,7 @@
  * agent that is gone. */
 START_TEST (test_missing_agent_is_bypassed)
 {
-  LcReach reach;
+  LcProbeDetector reach;
   RwWorld w;
 
   rw_start (&w, 3);
@@ -227,14 +227,14 @@
   for (uint32_t f = 0; f < RW_N_FLOWS; f++)
     w.nodes[2].holds[f] = false; /* its flows are lost */
   w.nodes[2].is_up = false;
-  lc_reach_init (&reach);
-  lc_reach_used (&reach, &w.nodes[2].agent.desc.self, w.now_us);
+  lc_probe_detector_init (&reach);
+  lc_probe_detector_record_use (&reach, &w.nodes[2].agent.desc.self, w.now_us);
   {
-    LcReachAddress due[4];
+    LcProbeDetectorAddress due[4];
 
-    ck_assert_uint_eq (lc_reach_due (&reach, w.now_us, due, 4), 1);
+    ck_assert_uint_eq (lc_probe_detector_next_probes (&reach, w.now_us, due, 4), 1);
   }
-  w.now_us += LC_REACH_SUSPECT_US;
+  w.now_us += LC_PROBE_DETECTOR_SUSPECT_US;
   lc_flow_balancer_mark_suspects (&w.balancer, &reach, w.now_us);
   for (uint32_t f = 0; f < RW_N_FLOWS; f++)
     {
@@ -246,7 +246,7 @@
       (void)rw_send (&w, &p);
       ck_assert_uint_eq (w.nodes[0].n_delivered + w.nodes[1].n_delivered, before + 1);
     }
-  lc_reach_finish (&reach);
+  lc_probe_detector_finish (&reach);
   rw_stop (&w);
 }
 END_TEST
@@ -261,31 +261,33 @@
   bool is_suspect;
 } REACH[] = {
   { "just probed", -1, 0, false },
-  { "no answer yet", -1, LC_REACH_SUSPECT_US - 1, false },
-  { "no answer", -1, LC_REACH_SUSPECT_US, true },
-  { "answered", 1000, LC_REACH_SUSPECT_US, false },
-  { "answered late", LC_REACH_SUSPECT_US + 1000, LC_REACH_SUSPECT_US + 2000, false },
+  { "no answer yet", -1, LC_PROBE_DETECTOR_SUSPECT_US - 1, false },
+  { "no answer", -1, LC_PROBE_DETECTOR_SUSPECT_US, true },
+  { "answered", 1000, LC_PROBE_DETECTOR_SUSPECT_US, false },
+  { "answered late", LC_PROBE_DETECTOR_SUSPECT_US + 1000, LC_PROBE_DETECTOR_SUSPECT_US + 2000,
+    false },
 };
 
 /* An agent is suspect until it answers a probe that timed out. */
 START_TEST (test_reach_suspects)
 {
   LcCandidate to = { .id = 1, .ipv4 = 5, .port = 7100 };
-  LcReachAddress due[2];
-  LcReach reach;
-
-  lc_reach_init (&reach);
-  ck_assert_uint_eq (lc_reach_due (&reach, 1000, due, 2), 0);
-  lc_reach_used (&reach, &to, 1000);
-  ck_assert_uint_eq (lc_reach_due (&reach, 1000, due, 2), 1);
-  ck_assert_uint_eq (lc_reach_due (&reach, 1001, due, 2), 0); /* no second probe at once */
+  LcProbeDetectorAddress due[2];
+  LcProbeDetector reach;
+
+  lc_probe_detector_init (&reach);
+  ck_assert_uint_eq (lc_probe_detector_next_probes (&reach, 1000, due, 2), 0);
+  lc_probe_detector_record_use (&reach, &to, 1000);
+  ck_assert_uint_eq (lc_probe_detector_next_probes (&reach, 1000, due, 2), 1);
+  ck_assert_uint_eq (lc_probe_detector_next_probes (&reach, 1001, due, 2),
+                     0); /* no second probe at once */
   if (REACH[_i].answered_us >= 0)
-    lc_reach_answered (&reach, to.ipv4, to.port, 1000 + REACH[_i].answered_us);
-  ck_assert_msg (lc_reach_is_suspect (&reach, to.ipv4, to.port, 1000 + REACH[_i].at_us) ==
+    lc_probe_detector_record_answer (&reach, to.ipv4, to.port, 1000 + REACH[_i].answered_us);
+  ck_assert_msg (lc_probe_detector_is_suspect (&reach, to.ipv4, to.port, 1000 + REACH[_i].at_us) ==
                      REACH[_i].is_suspect,
                  "%s", REACH[_i].what);
-  ck_assert (!lc_reach_is_suspect (&reach, 6, 7100, 1000 + REACH[_i].at_us));
-  lc_reach_finish (&reach);
+  ck_assert (!lc_probe_detector_is_suspect (&reach, 6, 7100, 1000 + REACH[_i].at_us));
+  lc_probe_detector_finish (&reach);
 }
 END_TEST
 
@@ -293,30 +295,31 @@
 START_TEST (test_reach_alone)
 {
   LcCandidate agents[] = { { .ipv4 = 5, .port = 7100 }, { .ipv4 = 6, .port = 7100 } };
-  int64_t late_us = 1000 + LC_REACH_SUSPECT_US;
-  LcReachAddress due[4];
-  LcReach reach;
+  int64_t late_us = 1000 + LC_PROBE_DETECTOR_SUSPECT_US;
+  LcProbeDetectorAddress due[4];
+  LcProbeDetector reach;
 
-  lc_reach_init (&reach);
-  ck_assert (!lc_reach_is_alone (&reach, 1000)); /* it has sent to no agent */
+  lc_probe_detector_init (&reach);
+  ck_assert (!lc_probe_detector_is_isolated (&reach, 1000)); /* it has sent to no agent */
   for (int i = 0; i < 2; i++)
-    lc_reach_used (&reach, &agents[i], 1000);
-  ck_assert_uint_eq (lc_reach_due (&reach, 1000, due, 4), 2);
-  lc_reach_answered (&reach, 5, 7100, 2000);
-  ck_assert (!lc_reach_is_alone (&reach, late_us));
-  lc_reach_used (&reach, &agents[0], late_us);
-  ck_assert_uint_eq (lc_reach_due (&reach, late_us, due, 4), 2);
-  late_us += LC_REACH_SUSPECT_US;
-  ck_assert (lc_reach_is_alone (&reach, late_us));
-  /* It keeps probing after LC_REACH_FORGET_US, when agents without packets expire. */
-  for (int64_t t = late_us; t < late_us + 2 * LC_REACH_FORGET_US; t += LC_REACH_PROBE_US)
+    lc_probe_detector_record_use (&reach, &agents[i], 1000);
+  ck_assert_uint_eq (lc_probe_detector_next_probes (&reach, 1000, due, 4), 2);
+  lc_probe_detector_record_answer (&reach, 5, 7100, 2000);
+  ck_assert (!lc_probe_detector_is_isolated (&reach, late_us));
+  lc_probe_detector_record_use (&reach, &agents[0], late_us);
+  ck_assert_uint_eq (lc_probe_detector_next_probes (&reach, late_us, due, 4), 2);
+  late_us += LC_PROBE_DETECTOR_SUSPECT_US;
+  ck_assert (lc_probe_detector_is_isolated (&reach, late_us));
+  /* It keeps probing after LC_PROBE_DETECTOR_FORGET_US, when agents without packets expire. */
+  for (int64_t t = late_us; t < late_us + 2 * LC_PROBE_DETECTOR_FORGET_US;
+       t += LC_PROBE_DETECTOR_PROBE_US)
     {
-      ck_assert (lc_reach_is_alone (&reach, t));
-      ck_assert_uint_eq (lc_reach_due (&reach, t, due, 4), 2);
+      ck_assert (lc_probe_detector_is_isolated (&reach, t));
+      ck_assert_uint_eq (lc_probe_detector_next_probes (&reach, t, due, 4), 2);
     }
-  lc_reach_answered (&reach, 6, 7100, late_us);
-  ck_assert (!lc_reach_is_alone (&reach, late_us));
-  lc_reach_finish (&reach);
+  lc_probe_detector_record_answer (&reach, 6, 7100, late_us);
+  ck_assert (!lc_probe_detector_is_isolated (&reach, late_us));
+  lc_probe_detector_finish (&reach);
 }
 END_TEST
 
@@ -333,7 +336,7 @@
       {
         LcPacket p = rw_packet_of (0, may_open);
         LcEnvelope e = { .mode = (uint8_t)MODES[i], .service_id = 2, .n = 1, .hops_left = 8 };
-        LcFlowAction action = lc_flow_agent_packet (&w.nodes[0].agent, &e, &p, w.now_us);
+        LcFlowAction action = lc_flow_agent_handle_packet (&w.nodes[0].agent, &e, &p, w.now_us);
 
         ck_assert_int_eq (action.kind, LC_FLOW_ACTION_DROP);
         ck_assert_int_eq (action.reason, LC_DROP_WRONG_INSTANCE);
@@ -431,7 +434,7 @@
     { "one missing", { 1, 3 }, { 5, 5 }, 0, false, 0, 0, false },
     { "one that is no member", { 1, 2, 9 }, { 5, 5, 5 }, 0, false, 0, 0, false },
     { "a newer view", { 1, 2, 3 }, { 5, 6, 5 }, 0, false, 0, 0, false },
-    { "too late", { 1, 2, 3 }, { 5, 5, 5 }, LC_FLOW_SEARCH_US, false, 0, 0, false },
+    { "too late", { 1, 2, 3 }, { 5, 5, 5 }, LC_FLOW_SEARCH_TIMEOUT_US, false, 0, 0, false },
     { "a newer view, learned later", { 1, 2, 3 }, { 5, 6, 5 }, 0, false, 6, 3, true },
     { "a newer view with one more", { 1, 2, 3 }, { 5, 6, 5 }, 0, false, 6, 4, false },
     { "the one missing leaves", { 1, 2 }, { 5, 5 }, 0, false, 6, 2, true },
@@ -449,13 +452,14 @@
         {
           LcFlowSearchMember by = { CASES[i].by[k], CASES[i].by[k] + 10 };
 
-          lc_flow_search_clear (&searches, &p.key, &by, CASES[i].memberships[k], CASES[i].after_us);
+          lc_flow_search_rule_out (&searches, &p.key, &by, CASES[i].memberships[k],
+                                   CASES[i].after_us);
         }
-      ck_assert_msg (lc_flow_search_next_lost (&searches, &out) == CASES[i].is_lost, "%s",
+      ck_assert_msg (lc_flow_search_next_unowned (&searches, &out) == CASES[i].is_lost, "%s",
                      CASES[i].what);
       if (CASES[i].learned != 0)
         lc_flow_searches_set_members (&searches, MEMBERS, CASES[i].n_then, CASES[i].learned);
-      ck_assert_msg (lc_flow_search_next_lost (&searches, &out) == CASES[i].is_lost_then, "%s",
+      ck_assert_msg (lc_flow_search_next_unowned (&searches, &out) == CASES[i].is_lost_then, "%s",
                      CASES[i].what);
       lc_flow_searches_finish (&searches);
     }
@@ -474,12 +478,12 @@
   lc_flow_searches_init (&searches, 0);
   lc_flow_searches_set_members (&searches, BEFORE, 2, 5);
   (void)lc_flow_search_begin (&searches, &p, 0);
-  lc_flow_search_clear (&searches, &p.key, &BEFORE[1], 5, 0);
+  lc_flow_search_rule_out (&searches, &p.key, &BEFORE[1], 5, 0);
   lc_flow_searches_set_members (&searches, AFTER, 2, 6);
-  lc_flow_search_clear (&searches, &p.key, &AFTER[0], 6, 0);
-  ck_assert (!lc_flow_search_next_lost (&searches, &out));
-  lc_flow_search_clear (&searches, &p.key, &AFTER[1], 6, 0);
-  ck_assert (lc_flow_search_next_lost (&searches, &out));
+  lc_flow_search_rule_out (&searches, &p.key, &AFTER[0], 6, 0);
+  ck_assert (!lc_flow_search_next_unowned (&searches, &out));
+  lc_flow_search_rule_out (&searches, &p.key, &AFTER[1], 6, 0);
+  ck_assert (lc_flow_search_next_unowned (&searches, &out));
   lc_flow_searches_finish (&searches);
 }
 END_TEST
@@ -511,10 +515,10 @@
 static const struct
 {
   const char *what;
-  LcFlowBackend backend;
+  LcFlowBackendState backend;
   uint64_t max_returned;
 } GONE[] = {
-  { "unconfirmed after a restart", LC_FLOW_BACKEND_ASKED, 1 },
+  { "unconfirmed after a restart", LC_FLOW_BACKEND_UNCONFIRMED, 1 },
   { "it had reported", LC_FLOW_BACKEND_OPEN, 3 },
 };
 
--- a/tests/member/prop-member.cc
+++ b/tests/member/prop-member.cc
@@ -2,7 +2,7 @@
  * reordering of messages, reconnects, restarts of relays, sources that lag, snapshots between
  * deltas.
  */
-#include "core/member/lc-guard.h"
+#include "core/member/lc-loss-guard.h"
 #include "core/member/lc-op-log.h"
 #include "core/member/lc-scope.h"
 #include "core/member/lc-settle.h"
@@ -145,7 +145,7 @@
     Message m{ id, false, sent, view.revision, 0, true, {} };
 
     for (size_t i = lc_op_log_after (&log, sent); i < lc_op_log_count (&log); i++)
-      if (lc_scope_wants (&scope, lc_op_log_at (&log, i)))
+      if (lc_scope_includes (&scope, lc_op_log_at (&log, i)))
         m.ops.push_back (*lc_op_log_at (&log, i));
     net->push_back (m);
   }
@@ -272,7 +272,7 @@
     RC_ASSERT (sync.view.revision >= highest);
     RC_ASSERT (sync.failed_total == 0U); /* no source sends an operation that fails */
     highest = sync.view.revision;
-    if (r == LC_SYNC_ASK)
+    if (r == LC_SYNC_RESUBSCRIBE)
       source->subscribe (lc_view_sync_from (&sync));
   }
 };
@@ -538,7 +538,7 @@
             LcInstance inst = lc_member_change_instance (&suspects[s]->member);
 
             if (lc_watch_holds (&watches[1 - k], name.c_str (), inst))
-              lc_watch_vouch (&watches[k], name.c_str (), inst);
+              lc_watch_confirm_elsewhere (&watches[k], name.c_str (), inst);
           }
         lc_watch_collect (&watches[k], &view, now_us, on_report, this);
       }
@@ -740,14 +740,14 @@
 {
   const auto n = *rc::gen::inRange<uint32_t> (4, 40);
   const auto order = *rc::gen::container<std::vector<uint16_t> > (rc::gen::arbitrary<uint16_t> ());
-  LcGuardDesc desc{};
-  LcGuard guard;
+  LcLossGuardDesc desc{};
+  LcLossGuard guard;
   LcView view;
   int64_t now_us = 1000000;
   int64_t began_us = now_us;
   uint32_t n_lost = 0;
 
-  lc_guard_init (&guard, &desc);
+  lc_loss_guard_init (&guard, &desc);
   lc_view_init (&view);
   for (uint32_t i = 0; i <= n; i++)
     {
@@ -777,7 +777,7 @@
       change.kind = LC_MEMBER_ENDPOINT_LOST;
       change.endpoint = *e;
       if (e->state == LC_ENDPOINT_LOST ||
-          lc_guard_check (&guard, &view, &change, now_us) != LC_GUARD_PASS)
+          lc_loss_guard_check (&guard, &view, &change, now_us) != LC_LOSS_GUARD_PASS)
         continue;
       LcViewOp op{};
 
@@ -785,14 +785,14 @@
       op.kind = LC_VIEW_ENDPOINT;
       op.endpoint = *e;
       op.endpoint.state = LC_ENDPOINT_LOST;
-      lc_guard_note (&guard, &op, now_us);
+      lc_loss_guard_record (&guard, &op, now_us);
       lc_view_apply (&view, &op, nullptr);
       n_lost++;
       RC_ASSERT (n_lost < n);
       if (now_us - began_us < 10 * LC_US_PER_S)
         RC_ASSERT (n_lost <= std::max (2U, n / 2));
     }
-  lc_guard_finish (&guard);
+  lc_loss_guard_finish (&guard);
   lc_view_finish (&view);
 }
 
--- a/tests/member/test-batch.c
+++ b/tests/member/test-batch.c
@@ -45,7 +45,7 @@
 
       ck_assert_msg (due_us == STEPS[i].due_us, "step %zu: %" G_GINT64_FORMAT, i, due_us);
       if (STEPS[i].is_sent)
-        lc_batch_pace_sent (&pace, due_us);
+        lc_batch_pace_record_sent (&pace, due_us);
     }
 }
 END_TEST
@@ -65,8 +65,8 @@
   lc_batch_pace_init (&pace, &PACE);
   for (size_t i = 0; i < G_N_ELEMENTS (FAILURES); i++)
     {
-      ck_assert_msg (lc_batch_pace_failed (&pace, FAILURES[i].at_us) == FAILURES[i].is_kept, "%zu",
-                     i);
+      ck_assert_msg (lc_batch_pace_should_retry (&pace, FAILURES[i].at_us) == FAILURES[i].is_kept,
+                     "%zu", i);
       ck_assert_int_eq (lc_batch_pace_add (&pace, FAILURES[i].at_us),
                         FAILURES[i].at_us + PACE.interval_us);
     }
@@ -91,7 +91,7 @@
 
           if (due_us != 0 && now_us >= due_us)
             {
-              lc_batch_pace_sent (&pace, due_us);
+              lc_batch_pace_record_sent (&pace, due_us);
               n_sent++;
             }
           due_us = lc_batch_pace_add (&pace, now_us);
--- a/tests/member/test-first-view.c
+++ b/tests/member/test-first-view.c
@@ -38,11 +38,11 @@
   LcFirstView first = { .started_us = START_US };
 
   if (CASES[_i].offered_ms >= 0)
-    lc_first_view_offered (&first, START_US + CASES[_i].offered_ms * MS);
+    lc_first_view_record_offer (&first, START_US + CASES[_i].offered_ms * MS);
   if (CASES[_i].again_ms >= 0)
-    lc_first_view_offered (&first, START_US + CASES[_i].again_ms * MS);
-  ck_assert_msg (lc_first_view_may_take (&first, CASES[_i].n_unanswered,
-                                         START_US + CASES[_i].at_ms * MS) == CASES[_i].may_take,
+    lc_first_view_record_offer (&first, START_US + CASES[_i].again_ms * MS);
+  ck_assert_msg (lc_first_view_may_accept (&first, CASES[_i].n_unanswered,
+                                           START_US + CASES[_i].at_ms * MS) == CASES[_i].may_take,
                  "%s", CASES[_i].what);
 }
 END_TEST
--- a/tests/member/test-flush-pace.c
+++ b/tests/member/test-flush-pace.c
@@ -56,7 +56,7 @@
 {
   int64_t started_us = r->now_us;
 
-  while (*waiting > 0 && !lc_flush_is_spent (started_us, r->now_us) &&
+  while (*waiting > 0 && !lc_flush_is_slice_over (started_us, r->now_us) &&
          lc_flush_has_room (r->unsent))
     {
       Taken taken = { r->now_us + LOADS[load].read_us, LOADS[load].bytes };
--- a/tests/member/test-member.c
+++ b/tests/member/test-member.c
@@ -2,7 +2,7 @@
  * choice of upstreams, and the reports of a watcher.
  */
 #include "core/member/lc-flap.h"
-#include "core/member/lc-guard.h"
+#include "core/member/lc-loss-guard.h"
 #include "core/member/lc-scope.h"
 #include "core/member/lc-settle.h"
 #include "core/member/lc-upstreams.h"
@@ -95,7 +95,7 @@
   for (uint32_t i = 0; i < FLAPS[_i].n_returns; i++)
     {
       now_us += FLAPS[_i].every_ms * LC_US_PER_MS;
-      lc_flap_note (&flap, "order-3", now_us);
+      lc_flap_record_return (&flap, "order-3", now_us);
     }
   now_us += FLAPS[_i].wait_ms * LC_US_PER_MS;
   ck_assert_int_eq (lc_flap_is_suppressed (&flap, "order-3", now_us), FLAPS[_i].is_suppressed);
@@ -177,7 +177,7 @@
 /* Reports the loss of `n` endpoints of data centre 2 (odd ids) once a second and commits those
  * that pass. */
 static uint32_t
-report_losses (LcGuard *guard, uint32_t n, uint32_t seconds, int64_t *now_us)
+report_losses (LcLossGuard *guard, uint32_t n, uint32_t seconds, int64_t *now_us)
 {
   uint32_t n_lost = 0;
 
@@ -188,9 +188,9 @@
         LcMemberChange change = { .kind = LC_MEMBER_ENDPOINT_LOST, .endpoint = op.endpoint };
 
         if (lc_view_endpoint (&view, op.endpoint.id)->state == LC_ENDPOINT_LOST ||
-            lc_guard_check (guard, &view, &change, *now_us) == LC_GUARD_HOLD)
+            lc_loss_guard_check (guard, &view, &change, *now_us) == LC_LOSS_GUARD_HOLD)
           continue;
-        lc_guard_note (guard, &op, *now_us);
+        lc_loss_guard_record (guard, &op, *now_us);
         apply (op);
         n_lost++;
       }
@@ -212,38 +212,38 @@
 /* Mass losses are held until the hold ends, a few losses are not. */
 START_TEST (test_guard)
 {
-  LcGuardDesc desc = { 0 };
+  LcLossGuardDesc desc = { 0 };
   int64_t now_us = LC_US_PER_S;
-  LcGuard guard;
+  LcLossGuard guard;
 
-  lc_guard_init (&guard, &desc);
+  lc_loss_guard_init (&guard, &desc);
   ck_assert_uint_eq (report_losses (&guard, LOSSES[_i].n, LOSSES[_i].seconds, &now_us),
                      LOSSES[_i].n_lost);
-  ck_assert_int_eq (lc_guard_is_holding (&guard, now_us - LC_US_PER_S),
+  ck_assert_int_eq (lc_loss_guard_is_holding (&guard, now_us - LC_US_PER_S),
                     LOSSES[_i].n_lost < LOSSES[_i].n);
-  lc_guard_finish (&guard);
+  lc_loss_guard_finish (&guard);
 }
 END_TEST
 
 /* The last endpoint of a service is never let go, and does not block settling forever. */
 START_TEST (test_guard_keeps_the_last)
 {
-  LcGuardDesc desc = { 0 };
+  LcLossGuardDesc desc = { 0 };
   int64_t now_us = LC_US_PER_S;
   LcMemberChange change = { .kind = LC_MEMBER_ENDPOINT_LOST };
-  LcGuard guard;
+  LcLossGuard guard;
 
-  lc_guard_init (&guard, &desc);
+  lc_loss_guard_init (&guard, &desc);
   for (uint32_t i = 2; i <= 10; i++)
     apply (endpoint_op (i, (LcDcId)(1 + i % 2), LC_ENDPOINT_LOST));
   change.endpoint = endpoint_op (1, 2, LC_ENDPOINT_ACTIVE).endpoint;
   for (int s = 0; s < 100; s++, now_us += LC_US_PER_S)
     {
-      ck_assert_int_eq (lc_guard_check (&guard, &view, &change, now_us), LC_GUARD_HOLD);
-      ck_assert_uint_eq (lc_guard_n_excused (&guard, now_us), s >= 20 ? 1 : 0);
+      ck_assert_int_eq (lc_loss_guard_check (&guard, &view, &change, now_us), LC_LOSS_GUARD_HOLD);
+      ck_assert_uint_eq (lc_loss_guard_count_exempt (&guard, now_us), s >= 20 ? 1 : 0);
     }
-  ck_assert_uint_eq (lc_guard_n_excused (&guard, now_us + 10 * LC_US_PER_S), 0);
-  lc_guard_finish (&guard);
+  ck_assert_uint_eq (lc_loss_guard_count_exempt (&guard, now_us + 10 * LC_US_PER_S), 0);
+  lc_loss_guard_finish (&guard);
 }
 END_TEST
 
@@ -261,18 +261,18 @@
   lc_scope_resolve (&scope, &view);
   endpoint.endpoint.service_id = 9;
   balancer.balancer.dc = 7;
-  ck_assert (!lc_scope_wants (&scope, &endpoint));
-  ck_assert (!lc_scope_wants (&scope, &balancer));
+  ck_assert (!lc_scope_includes (&scope, &endpoint));
+  ck_assert (!lc_scope_includes (&scope, &balancer));
   service.service.id = 9;
   (void)g_strlcpy (service.service.name, "ticket-vault", LC_NAME_MAX);
   dc.dc.id = 7;
   (void)g_strlcpy (dc.dc.name, "hall-atl", LC_NAME_MAX);
-  ck_assert (lc_scope_wants (&scope, &service));
-  ck_assert (lc_scope_wants (&scope, &dc));
-  ck_assert (lc_scope_wants (&scope, &endpoint));
-  ck_assert (lc_scope_wants (&scope, &balancer));
+  ck_assert (lc_scope_includes (&scope, &service));
+  ck_assert (lc_scope_includes (&scope, &dc));
+  ck_assert (lc_scope_includes (&scope, &endpoint));
+  ck_assert (lc_scope_includes (&scope, &balancer));
   endpoint.endpoint.service_id = 1;
-  ck_assert (!lc_scope_wants (&scope, &endpoint));
+  ck_assert (!lc_scope_includes (&scope, &endpoint));
 }
 END_TEST
 
@@ -398,7 +398,7 @@
   lc_watch_collect (&watch, &view, 1, count_report, &n_reports);
   lc_watch_collect (&watch, &view, 2, count_report, &n_reports);
   ck_assert_uint_eq (n_reports, 1);
-  lc_watch_report_again (&watch);
+  lc_watch_resend_all (&watch);
   lc_watch_collect (&watch, &view, 3, count_report, &n_reports);
   lc_watch_collect (&watch, &view, 4, count_report, &n_reports);
   ck_assert_uint_eq (n_reports, 2);
--- a/tests/member/test-relays.c
+++ b/tests/member/test-relays.c
@@ -101,9 +101,9 @@
         ck_assert_uint_gt (n_relays, 0);
         for (uint32_t i = 0; i < n_relays; i++)
           {
-            uint32_t times = MIN (relays[i]->link_kbps / THIN_KBPS, (uint32_t)LC_RELAYS_TIMES_MAX);
+            uint32_t times = MIN (relays[i]->link_kbps / THIN_KBPS, (uint32_t)LC_RELAYS_RATIO_MAX);
 
-            ck_assert_msg (n / n_relays <= (LC_RELAYS_BALANCERS + 1) * times,
+            ck_assert_msg (n / n_relays <= (LC_RELAYS_FAN_OUT + 1) * times,
                            "%u balancers, %u wide: %u relays", n, WIDE[w], n_relays);
           }
         lc_view_finish (&view);
--- a/tests/member/test-staleness.c
+++ b/tests/member/test-staleness.c
@@ -13,7 +13,7 @@
   int64_t at_ms;
   LcRevision own;
   LcRevision reported; /* by a peer, just before */
-  LcStalenessNews expected;
+  LcStalenessChange expected;
 } Step;
 
 static const struct
@@ -72,11 +72,11 @@
   ck_assert_int_eq (lc_staleness_check (&s, 5, 0), LC_STALENESS_SAME);
   ck_assert (!lc_staleness_lacks (&s, 5));
   lc_staleness_note (&s, 30);
-  ck_assert_int_eq (lc_staleness_check (&s, 5, LC_STALENESS_US), LC_STALENESS_BEGINS);
+  ck_assert_int_eq (lc_staleness_check (&s, 5, LC_STALENESS_LIMIT_US), LC_STALENESS_BEGINS);
   ck_assert (lc_staleness_lacks (&s, 5));
   ck_assert (lc_staleness_lacks (&s, 9));
   ck_assert (!lc_staleness_lacks (&s, 10));
-  ck_assert_int_eq (lc_staleness_us (&s, 2 * LC_STALENESS_US), 2 * LC_STALENESS_US);
+  ck_assert_int_eq (lc_staleness_us (&s, 2 * LC_STALENESS_LIMIT_US), 2 * LC_STALENESS_LIMIT_US);
 }
 END_TEST
 
--- a/tests/platform/test-burn.c
+++ b/tests/platform/test-burn.c
@@ -83,7 +83,7 @@
   LcBurnObjective objective = { .service = "order-desk", .good_ppm = 999000 };
   LcBurnReport report;
 
-  lc_burn_report_make (&report, merge, &objective, NULL, 3 * DAY_US);
+  lc_burn_report_compute (&report, merge, &objective, NULL, 3 * DAY_US);
   for (int i = 0; i < 6; i++)
     ck_assert_msg (fabs (report.spans[i].request_rate - RATES[_i].rates[i]) <
                        0.05 * fmax (1.0, RATES[_i].rates[i]),
@@ -110,9 +110,9 @@
   LcBurnReport report;
 
   ck_assert (w.growth[BAD[_i]] == 50.0);
-  lc_burn_report_make (&report, merge, &objective, "hall-atl", 3 * DAY_US);
+  lc_burn_report_compute (&report, merge, &objective, "hall-atl", 3 * DAY_US);
   ck_assert (fabs (report.spans[0].request_rate - 500) < 1e-6);
-  lc_burn_report_make (&report, merge, &objective, "hall-bhm", 3 * DAY_US);
+  lc_burn_report_compute (&report, merge, &objective, "hall-bhm", 3 * DAY_US);
   ck_assert (report.spans[0].requests == 0);
   lc_burn_merge_free (merge);
 }
@@ -196,7 +196,7 @@
   last.counts.values[LC_BURN_FLOW_REFUSED] = FLOWS[_i].refused;
   ck_assert_int_eq (lc_burn_merge_add (merge, &key, 2 * HOUR_US, 2 * HOUR_US, &first), 0);
   ck_assert_int_eq (lc_burn_merge_add (merge, &key, 2 * HOUR_US, 2 * HOUR_US, &last), 0);
-  lc_burn_report_make (&report, merge, &objective, NULL, 2 * HOUR_US);
+  lc_burn_report_compute (&report, merge, &objective, NULL, 2 * HOUR_US);
   ck_assert_msg (fabs (report.spans[1].flow_rate - FLOWS[_i].rate) < 1e-6, "%g",
                  report.spans[1].flow_rate);
   lc_burn_merge_free (merge);
--- a/tests/request/fake-world.cc
+++ b/tests/request/fake-world.cc
@@ -15,12 +15,12 @@
       std::abort ();
   if (p.is_agent)
     {
-      lc_request_agent_view (&p.agent, lc_view_service (&p.view, 1), 0, now_us);
+      lc_request_agent_set_service (&p.agent, lc_view_service (&p.view, 1), 0, now_us);
       carry_out_agent (p);
     }
   else
     {
-      lc_request_balancer_view (&p.balancer, &p.view, now_us);
+      lc_request_balancer_set_view (&p.balancer, &p.view, now_us);
       carry_out_balancer (p);
     }
 }
@@ -63,7 +63,7 @@
   Message to_balancer;
   to_balancer.to_balancer = link.balancer;
   to_balancer.deliver = [this, id, b = link.balancer] {
-    lc_request_balancer_link_down (&balancers[b].balancer, id, now_us);
+    lc_request_balancer_handle_link_down (&balancers[b].balancer, id, now_us);
     carry_out_balancer (balancers[b]);
   };
   if (balancers[link.balancer].instance == link.balancer_instance)
@@ -71,7 +71,7 @@
   Message to_agent;
   to_agent.to_agent = link.agent;
   to_agent.deliver = [this, id, a = link.agent] {
-    lc_request_agent_link_down (&agents[a].agent, id, now_us);
+    lc_request_agent_handle_link_down (&agents[a].agent, id, now_us);
     carry_out_agent (agents[a]);
   };
   if (agents[link.agent].instance == link.agent_instance)
@@ -126,7 +126,7 @@
       p.running[action.run_id] = n_steps;
       break;
     case LC_AGENT_STOP:
-    case LC_AGENT_FORGET:
+    case LC_AGENT_DROP_PAYLOAD:
       p.running.erase (action.run_id);
       p.payloads.erase (action.run_id);
       break;
@@ -134,7 +134,7 @@
     case LC_AGENT_REFUSE:
       {
         bool is_answer = action.kind == LC_AGENT_ANSWER;
-        const LcAsk &ask = is_answer ? action.answer.attempt_id : action.refuse.attempt_id;
+        const LcAttemptId &ask = is_answer ? action.answer.attempt_id : action.refuse.attempt_id;
         auto link = links.find (ask.link_id);
         LcAttemptRef ref = { ask.id, ask.attempt, ask.link_id };
         Message m;
@@ -158,7 +158,8 @@
                                   action.refuse.owner };
 
             m.deliver = [this, ref, refusal, b = m.to_balancer] {
-              lc_request_balancer_refused (&balancers[b].balancer, &ref, &refusal, 1000, now_us);
+              lc_request_balancer_handle_refusal (&balancers[b].balancer, &ref, &refusal, 1000,
+                                                  now_us);
               carry_out_balancer (balancers[b]);
             };
           }
@@ -174,13 +175,13 @@
 
         m.to_agent = agent_of (claim.home);
         m.deliver = [this, claim, owner, self, home = m.to_agent, instance = p.instance] {
-          LcClaimHold hold = {};
+          LcClaimRecord hold = {};
           LcClaimReply reply = {};
           Message back;
 
-          reply.result =
-              lc_request_agent_claim (&agents[home].agent, claim.home.instance, claim.key, owner,
-                                      claim.sequence, claim.era, claim.keep_us, now_us, &hold);
+          reply.result = lc_request_agent_handle_claim (&agents[home].agent, claim.home.instance,
+                                                        claim.key, owner, claim.sequence, claim.era,
+                                                        claim.keep_us, now_us, &hold);
           carry_out_agent (agents[home]);
           reply.home = agents[home].agent.desc.self;
           reply.key = claim.key;
@@ -188,10 +189,10 @@
           reply.era = claim.era;
           reply.holder = hold.owner;
           reply.lost_for_us =
-              lc_claim_era_lost_for_us (&agents[home].agent.claim_sync, claim.key, now_us);
+              lc_claim_sync_key_unavailable_us (&agents[home].agent.claim_sync, claim.key, now_us);
           back.to_agent = self;
           back.deliver = [this, reply, self] {
-            lc_request_agent_claim_reply (&agents[self].agent, &reply, now_us);
+            lc_request_agent_handle_claim_reply (&agents[self].agent, &reply, now_us);
             carry_out_agent (agents[self]);
           };
           if (agents[self].instance == instance)
@@ -207,16 +208,18 @@
 
         m.to_agent = agent_of (claim.home);
         m.deliver = [this, claim, instance = p.instance, home = m.to_agent] {
-          lc_request_agent_release (&agents[home].agent, claim.key, instance, claim.sequence);
+          lc_request_agent_handle_release (&agents[home].agent, claim.key, instance,
+                                           claim.sequence);
           carry_out_agent (agents[home]);
         };
         send (std::move (m));
         break;
       }
-    case LC_AGENT_READ:
+    case LC_AGENT_READ_CLAIMS:
       {
         LcMemberRef reader = p.agent.desc.self;
-        const LcClaimSet *set = lc_claim_era_find (&p.agent.claim_sync, action.read.era);
+        const LcClaimMembers *set =
+            lc_claim_sync_find_members (&p.agent.claim_sync, action.read.era);
         std::vector<LcMemberRef> members (set->members, set->members + set->n_members);
         LcMemberRef asked = action.read.member;
         Message m;
@@ -224,24 +227,24 @@
         m.to_agent = agent_of (asked); /* the instance at that address now */
         m.deliver = [this, reader, members, self, asked_era = action.read.era, from = m.to_agent,
                      instance = p.instance] {
-          std::vector<LcClaimSource> sources (LC_CLAIM_ERA_MAX_SELVES);
-          std::vector<LcClaimHold> holds;
+          std::vector<LcClaimSource> sources (LC_CLAIM_SYNC_MAX_INCARNATIONS);
+          std::vector<LcClaimRecord> holds;
           Message back;
 
-          sources.resize (
-              lc_request_agent_sources (&agents[from].agent, asked_era, now_us, sources.data ()));
-          lc_request_agent_records (
+          sources.resize (lc_request_agent_list_sources (&agents[from].agent, asked_era, now_us,
+                                                         sources.data ()));
+          lc_request_agent_foreach_record (
               &agents[from].agent, reader, members.data (), (uint32_t)members.size (), now_us,
-              [] (void *user, const LcClaimHold *hold) {
-                ((std::vector<LcClaimHold> *)user)->push_back (*hold);
+              [] (void *user, const LcClaimRecord *hold) {
+                ((std::vector<LcClaimRecord> *)user)->push_back (*hold);
               },
               &holds);
           back.to_agent = self;
           back.deliver = [this, sources, holds, self] {
             for (const auto &hold : holds)
-              lc_request_agent_record (&agents[self].agent, &hold);
+              lc_request_agent_merge_record (&agents[self].agent, &hold);
             for (const auto &source : sources)
-              lc_request_agent_read_done (&agents[self].agent, &source, now_us);
+              lc_request_agent_add_source (&agents[self].agent, &source, now_us);
             carry_out_agent (agents[self]);
           };
           if (agents[self].instance == instance)
@@ -250,9 +253,9 @@
         send (std::move (m));
         break;
       }
-    case LC_AGENT_HELD_UP:
+    case LC_AGENT_CLAIM_DELAYED:
       break;
-    case LC_AGENT_KEEP:
+    case LC_AGENT_PERSIST:
       p.kept_claims[{ action.persist.key.hi, action.persist.key.lo }] = action.persist;
       break;
     }
@@ -264,7 +267,7 @@
 {
   for (const auto &[key, hold] : p.kept_claims)
     lc_request_agent_resume_claim (&p.agent, &hold);
-  lc_request_agent_resume (&p.agent, &p.kept_state);
+  lc_request_agent_resume_progress (&p.agent, &p.kept_state);
 }
 
 void
@@ -272,12 +275,12 @@
 {
   LcAgentAction action;
 
-  while (lc_request_agent_take (&p.agent, &action))
+  while (lc_request_agent_next_action (&p.agent, &action))
     {
       agent_action (p, action);
       lc_agent_action_clear (&action);
     }
-  lc_claim_era_state (&p.agent.claim_sync, &p.kept_state);
+  lc_claim_sync_progress (&p.agent.claim_sync, &p.kept_state);
 }
 
 void
@@ -307,17 +310,17 @@
   switch ((arg >> 8) % 8)
     {
     case 0:
-      lc_request_agent_ended (&p.agent, run_id, LC_RUN_SHED, NULL, now_us);
+      lc_request_agent_end_run (&p.agent, run_id, LC_RUN_SHED, NULL, now_us);
       break;
     case 1:
-      lc_request_agent_ended (&p.agent, run_id, LC_RUN_BROKEN, NULL, now_us);
+      lc_request_agent_end_run (&p.agent, run_id, LC_RUN_BROKEN, NULL, now_us);
       break;
     default:
       {
         LcAnswer *answer =
             lc_answer_new (200, g_bytes_new (NULL, 0), g_bytes_new (token.data (), token.size ()));
 
-        lc_request_agent_ended (&p.agent, run_id, LC_RUN_OK, answer, now_us);
+        lc_request_agent_end_run (&p.agent, run_id, LC_RUN_OK, answer, now_us);
         lc_answer_unref (answer);
       }
     }
@@ -337,10 +340,11 @@
 
   if (link_id == 0)
     {
-      lc_request_balancer_unsent (&p.balancer, action.flight_id, action.send.number, now_us);
+      lc_request_balancer_handle_send_failure (&p.balancer, action.flight_id, action.send.number,
+                                               now_us);
       return;
     }
-  lc_request_balancer_sent (&p.balancer, action.flight_id, action.send.number, link_id);
+  lc_request_balancer_handle_sent (&p.balancer, action.flight_id, action.send.number, link_id);
   attempt.attempt_id = { link_id, operation.request.id, action.send.number };
   attempt.instance = action.send.ref.instance;
   attempt.key = operation.request.key;
@@ -354,7 +358,7 @@
     uint64_t run_id;
 
     attempt.deadline_us = now_us + left_us;
-    run_id = lc_request_agent_attempt (&to.agent, &attempt, now_us);
+    run_id = lc_request_agent_handle_attempt (&to.agent, &attempt, now_us);
     if (run_id != 0)
       to.payloads[run_id] = index;
     carry_out_agent (to);
@@ -383,7 +387,7 @@
 {
   LcBalancerAction action;
 
-  while (lc_request_balancer_take (&p.balancer, &action))
+  while (lc_request_balancer_next_action (&p.balancer, &action))
     switch (action.kind)
       {
       case LC_BALANCER_SEND:
@@ -397,14 +401,14 @@
       case LC_BALANCER_CANCEL:
         {
           auto link = links.find (action.cancel.link_id);
-          LcAsk ask = { action.cancel.link_id, action.cancel.id, action.cancel.number };
+          LcAttemptId ask = { action.cancel.link_id, action.cancel.id, action.cancel.number };
           Message m;
 
           if (link == links.end () || !link->second.up)
             break;
           m.to_agent = link->second.agent;
           m.deliver = [this, ask, a = m.to_agent] {
-            lc_request_agent_cancel (&agents[a].agent, &ask, now_us);
+            lc_request_agent_handle_cancel (&agents[a].agent, &ask, now_us);
             carry_out_agent (agents[a]);
           };
           send (std::move (m));
@@ -416,7 +420,7 @@
 void
 World::answer_arrived (Process &p, const LcAttemptRef &ref, bool is_whole, const std::string &token)
 {
-  uint64_t flight_id = lc_request_balancer_answered (&p.balancer, &ref, is_whole, 200, now_us);
+  uint64_t flight_id = lc_request_balancer_handle_answer (&p.balancer, &ref, is_whole, 200, now_us);
 
   if (flight_id != 0)
     {
@@ -481,7 +485,7 @@
   operation->token = operation->key >= 0 ? KEYS[operation->key] : "own-" + std::to_string (index);
   operations.push_back (std::move (operation));
   Operation &kept = *operations.back ();
-  flight_id = lc_request_balancer_start (&p.balancer, &kept.request, &verdict);
+  flight_id = lc_request_balancer_start_request (&p.balancer, &kept.request, &verdict);
   if (flight_id == 0)
     kept.is_over = true;
   else
@@ -496,7 +500,8 @@
 World::is_quiet ()
 {
   for (auto &a : agents)
-    if (a.alive && (a.applied != ops.size () || lc_claim_era_target (&a.agent.claim_sync) != 0))
+    if (a.alive &&
+        (a.applied != ops.size () || lc_claim_sync_target_era (&a.agent.claim_sync) != 0))
       return false;
   for (auto &a : agents)
     if (!a.alive && (a.committed == LC_ENDPOINT_ACTIVE || a.committed == LC_ENDPOINT_JOINING))
@@ -656,7 +661,7 @@
 
       std::advance (at, (arg >> 4) % p.flights.size ());
       operations[at->second]->is_over = true;
-      lc_request_balancer_gone (&p.balancer, at->first, now_us);
+      lc_request_balancer_cancel (&p.balancer, at->first, now_us);
       p.flights.erase (at);
       carry_out_balancer (p);
     }
--- a/tests/request/fake-world.hh
+++ b/tests/request/fake-world.hh
@@ -86,8 +86,8 @@
     std::map<uint64_t, int> payloads;             // run id -> operation that carried it
     std::map<uint64_t, int> running; // run id at the backend server -> step at which it started
     std::map<uint64_t, int> flights; // flight id -> operation
-    std::map<std::pair<uint64_t, uint64_t>, LcClaimHold> kept_claims; // by key
-    LcClaimEraState kept_state = {};
+    std::map<std::pair<uint64_t, uint64_t>, LcClaimRecord> kept_claims; // by key
+    LcClaimProgress kept_state = {};
   };
 
   struct Operation
--- a/tests/request/test-claim-file.c
+++ b/tests/request/test-claim-file.c
@@ -22,7 +22,7 @@
 static const char BOOT[] = "11111111-2222-3333-4444-555555555555";
 static const char OTHER_BOOT[] = "99999999-2222-3333-4444-555555555555";
 
-static const LcClaimEraState KNOWN = { .incarnations = { { SELF, EARLIER }, { SELF, 7 } },
+static const LcClaimProgress KNOWN = { .incarnations = { { SELF, EARLIER }, { SELF, 7 } },
                                        .n_incarnations = 2,
                                        .complete = 40,
                                        .complete_from = 30 };
@@ -45,13 +45,13 @@
   lc_request_agent_init (agent, &desc);
 }
 
-static LcClaimHold
+static LcClaimRecord
 hold_of (uint64_t i)
 {
-  return (LcClaimHold){ .key = { i * 7919, (uint64_t)1 << 32 | i },
-                        .owner = { 1, 1001 },
-                        .sequence = i,
-                        .expires_us = 300 * LC_US_PER_S };
+  return (LcClaimRecord){ .key = { i * 7919, (uint64_t)1 << 32 | i },
+                          .owner = { 1, 1001 },
+                          .sequence = i,
+                          .expires_us = 300 * LC_US_PER_S };
 }
 
 /* One process: it has a state, grants claims, and releases the first. */
@@ -74,11 +74,11 @@
   ck_assert_int_eq (lc_claim_file_settle (&file, &agent, 0, &error), 0);
   for (uint64_t i = 0; i < N_KEYS; i++)
     {
-      LcClaimHold hold = hold_of (i + 1);
+      LcClaimRecord hold = hold_of (i + 1);
 
       ck_assert_int_eq (lc_claim_file_claim (&file, &hold, &error), 0);
     }
-  ck_assert_int_eq (lc_claim_file_claim (&file, &(LcClaimHold){ .key = hold_of (1).key }, &error),
+  ck_assert_int_eq (lc_claim_file_claim (&file, &(LcClaimRecord){ .key = hold_of (1).key }, &error),
                     0);
   lc_claim_file_finish (&file);
   lc_request_agent_finish (&agent);
@@ -132,7 +132,7 @@
 {
   LcFakeDisk *fake = lc_fake_disk_new (1);
   LcClaimFileDesc desc = desc_of (fake, STARTS[_i].boot_id, STARTS[_i].service);
-  LcClaimEraState state;
+  LcClaimProgress state;
   LcError error = { 0 };
   LcRequestAgent agent;
   LcClaimFile file;
@@ -147,7 +147,7 @@
                  STARTS[_i].what, lc_claim_store_size (&agent.store));
   for (uint64_t i = N_KEYS; i > N_KEYS - STARTS[_i].n_claims; i--)
     ck_assert_uint_eq (lc_claim_store_find (&agent.store, hold_of (i).key, 0)->sequence, i);
-  lc_claim_era_state (&agent.claim_sync, &state);
+  lc_claim_sync_progress (&agent.claim_sync, &state);
   ck_assert_uint_eq (state.complete, STARTS[_i].is_resumed ? KNOWN.complete : 0);
   ck_assert_uint_eq (state.n_incarnations, STARTS[_i].is_resumed ? 3 : 1);
   ck_assert (lc_member_ref_equal (state.incarnations[0], (LcMemberRef){ SELF, LATER }));
@@ -169,7 +169,7 @@
   LcRequestAgent agent;
   LcRequestAgent next;
   LcClaimFile file;
-  LcClaimHold hold = hold_of (N_KEYS + 1);
+  LcClaimRecord hold = hold_of (N_KEYS + 1);
 
   live (fake);
   lc_claim_file_init (&file, &desc);
@@ -219,7 +219,7 @@
   ck_assert_int_eq (lc_claim_file_load (&file, &agent, 0, &error), 0);
   for (uint64_t i = 1; i <= 100000; i++)
     {
-      LcClaimHold hold = hold_of (i);
+      LcClaimRecord hold = hold_of (i);
 
       ck_assert_int_eq (lc_claim_file_claim (&file, &hold, &error), 0);
       ck_assert_int_eq (lc_claim_file_settle (&file, &agent, (int64_t)i, &error), 0);
--- a/tests/request/test-claims-lost.c
+++ b/tests/request/test-claims-lost.c
@@ -52,11 +52,11 @@
   ck_assert_int_eq (lc_view_apply (view, &service, NULL), 0);
   lc_request_agent_init (agent, &desc);
   show (view, 1, 2, false);
-  lc_request_agent_view (agent, lc_view_service (view, 1), SELF, 0);
+  lc_request_agent_set_service (agent, lc_view_service (view, 1), SELF, 0);
   if (is_lost)
     show (view, 1, 3, true);
   show (view, 10, 4, false);
-  lc_request_agent_view (agent, lc_view_service (view, 1), SELF, LOST_AT_S * LC_US_PER_S);
+  lc_request_agent_set_service (agent, lc_view_service (view, 1), SELF, LOST_AT_S * LC_US_PER_S);
 }
 
 static const struct
@@ -85,7 +85,7 @@
   LcAgentAction action;
   uint32_t n = 0;
 
-  while (lc_request_agent_take (agent, &action))
+  while (lc_request_agent_next_action (agent, &action))
     {
       if (action.kind == LC_AGENT_REFUSE)
         {
@@ -117,7 +117,7 @@
                                  .is_caller_key = true,
                                  .deadline_us = now_us + CASES[_i].deadline_ms * LC_US_PER_MS };
 
-      (void)lc_request_agent_attempt (&agent, &attempt, now_us);
+      (void)lc_request_agent_handle_attempt (&agent, &attempt, now_us);
     }
   n_refused = count_refused (&agent, now_us, lost_for_us);
   /* This agent is the first home of about a fifth of the keys; it holds the claims of those
@@ -159,8 +159,8 @@
         {
           attempt.key = (LcRequestKey){ k * 7919, (uint64_t)1 << 32 | k };
           attempt.attempt_id.id.lo = k;
-          (void)lc_request_agent_attempt (&agent, &attempt, now_us);
-          while (action.kind != LC_AGENT_CLAIM && lc_request_agent_take (&agent, &action))
+          (void)lc_request_agent_handle_attempt (&agent, &attempt, now_us);
+          while (action.kind != LC_AGENT_CLAIM && lc_request_agent_next_action (&agent, &action))
             ;
         }
       reply.home = action.claim.home;
@@ -168,7 +168,7 @@
       reply.sequence = action.claim.sequence;
       reply.era = action.claim.era;
       reply.lost_for_us = ANSWERS[i].lost_for_ms * LC_US_PER_MS;
-      lc_request_agent_claim_reply (&agent, &reply, now_us);
+      lc_request_agent_handle_claim_reply (&agent, &reply, now_us);
       ck_assert_msg (count_refused (&agent, now_us, reply.lost_for_us) == ANSWERS[i].is_refused,
                      "%s", ANSWERS[i].what);
       lc_request_agent_finish (&agent);
@@ -201,17 +201,18 @@
 
       lose_homes (&agent, &view, false);
       show (&view, 1, 5, false); /* the first members return */
-      lc_request_agent_view (&agent, lc_view_service (&view, 1), SELF, LOST_AT_S * LC_US_PER_S);
+      lc_request_agent_set_service (&agent, lc_view_service (&view, 1), SELF,
+                                    LOST_AT_S * LC_US_PER_S);
       for (LcEndpointId k = 0; k < 4; k++)
         {
           LcClaimSource source = { .member = { 2 + k, 1002 + k } };
 
-          source.target_era = lc_claim_era_target (&agent.claim_sync);
+          source.target_era = lc_claim_sync_target_era (&agent.claim_sync);
           source.lost_for_us = MEMBERS[i].lost_for_s[k] * LC_US_PER_S;
           if (source.lost_for_us >= 0)
-            lc_request_agent_read_done (&agent, &source, now_us);
+            lc_request_agent_add_source (&agent, &source, now_us);
         }
-      ck_assert_msg (lc_claim_era_stalled_for_us (&agent.claim_sync, now_us) ==
+      ck_assert_msg (lc_claim_sync_unavailable_us (&agent.claim_sync, now_us) ==
                          MEMBERS[i].stalled_for_s * LC_US_PER_S,
                      "%s", MEMBERS[i].what);
       lc_request_agent_finish (&agent);
--- a/tests/request/test-request.c
+++ b/tests/request/test-request.c
@@ -1,10 +1,10 @@
 /* Unit tests of the request plane's state machines: outcomes, attempts, admission, endpoint
  * picking, filters and claims. */
 #include "core/request/lc-admission.h"
-#include "core/request/lc-attempt.h"
-#include "core/request/lc-claim-era.h"
+#include "core/request/lc-attempts.h"
+#include "core/request/lc-claim-sync.h"
 #include "core/request/lc-claim-store.h"
-#include "core/request/lc-claim-try.h"
+#include "core/request/lc-claim-acquire.h"
 #include "core/request/lc-deadline.h"
 #include "core/request/lc-hedge.h"
 #include "core/request/lc-pick.h"
@@ -56,25 +56,25 @@
 
   for (size_t i = 0; i < G_N_ELEMENTS (CASES); i++)
     {
-      LcAttemptDesc desc = { .key = KEY, .is_caller_key = CASES[i].is_caller_key };
+      LcAttemptsDesc desc = { .key = KEY, .is_caller_key = CASES[i].is_caller_key };
       int ends[2] = { CASES[i].first, CASES[i].second };
-      LcAttempt attempt;
+      LcAttempts attempt;
       LcStep step;
 
-      lc_attempt_init (&attempt, &desc);
+      lc_attempts_init (&attempt, &desc);
       for (uint32_t k = 0; k < 2 && ends[k] != NONE; k++)
         {
           LcRefusal refusal = { .reason = LC_REFUSE_FULL,
                                 .is_claimed = ends[k] == REFUSED_CHECKED };
-          uint32_t number = lc_attempt_begin (&attempt, A, k + 1);
+          uint32_t number = lc_attempts_begin (&attempt, A, k + 1);
 
           if (ends[k] == LOST)
-            step = lc_attempt_link_down (&attempt, k + 1);
+            step = lc_attempts_handle_link_down (&attempt, k + 1);
           else
-            step = lc_attempt_refused (&attempt, k + 1, number, &refusal);
+            step = lc_attempts_handle_refusal (&attempt, k + 1, number, &refusal);
           ck_assert_int_eq (step.kind, LC_STEP_RETRY);
         }
-      step = lc_attempt_give_up (&attempt, LC_REFUSE_FULL);
+      step = lc_attempts_give_up (&attempt, LC_REFUSE_FULL);
       ck_assert_int_eq (step.kind, LC_STEP_FINISH);
       ck_assert_msg (step.outcome == CASES[i].expected, "case %zu", i);
     }
@@ -83,36 +83,36 @@
 
 START_TEST (test_late_and_misdirected_messages_are_ignored)
 {
-  LcAttempt attempt;
+  LcAttempts attempt;
   LcRefusal refusal = { .reason = LC_REFUSE_FULL };
   uint32_t number;
 
-  lc_attempt_init (&attempt, &(LcAttemptDesc){ .key = KEY });
-  number = lc_attempt_begin (&attempt, A, 5);
-  ck_assert_int_eq (lc_attempt_answered (&attempt, 6, number, true).kind, LC_STEP_NONE);
-  ck_assert_int_eq (lc_attempt_answered (&attempt, 5, number + 1, true).kind, LC_STEP_NONE);
-  ck_assert_int_eq (lc_attempt_answered (&attempt, 5, 0, true).kind, LC_STEP_NONE);
-  ck_assert_int_eq (lc_attempt_refused (&attempt, 5, number, &refusal).kind, LC_STEP_RETRY);
-  ck_assert_int_eq (lc_attempt_answered (&attempt, 5, number, true).kind, LC_STEP_NONE);
-  number = lc_attempt_begin (&attempt, B, 5);
-  ck_assert_int_eq (lc_attempt_answered (&attempt, 5, number, true).kind, LC_STEP_ANSWER);
-  ck_assert_int_eq (lc_attempt_answered (&attempt, 5, number, true).kind, LC_STEP_NONE);
-  ck_assert_int_eq (lc_attempt_give_up (&attempt, LC_REFUSE_DEADLINE).kind, LC_STEP_NONE);
+  lc_attempts_init (&attempt, &(LcAttemptsDesc){ .key = KEY });
+  number = lc_attempts_begin (&attempt, A, 5);
+  ck_assert_int_eq (lc_attempts_handle_answer (&attempt, 6, number, true).kind, LC_STEP_NONE);
+  ck_assert_int_eq (lc_attempts_handle_answer (&attempt, 5, number + 1, true).kind, LC_STEP_NONE);
+  ck_assert_int_eq (lc_attempts_handle_answer (&attempt, 5, 0, true).kind, LC_STEP_NONE);
+  ck_assert_int_eq (lc_attempts_handle_refusal (&attempt, 5, number, &refusal).kind, LC_STEP_RETRY);
+  ck_assert_int_eq (lc_attempts_handle_answer (&attempt, 5, number, true).kind, LC_STEP_NONE);
+  number = lc_attempts_begin (&attempt, B, 5);
+  ck_assert_int_eq (lc_attempts_handle_answer (&attempt, 5, number, true).kind, LC_STEP_ANSWER);
+  ck_assert_int_eq (lc_attempts_handle_answer (&attempt, 5, number, true).kind, LC_STEP_NONE);
+  ck_assert_int_eq (lc_attempts_give_up (&attempt, LC_REFUSE_DEADLINE).kind, LC_STEP_NONE);
 }
 END_TEST
 
 START_TEST (test_refusal_of_held_key_leads_to_its_owner)
 {
-  LcAttempt attempt;
+  LcAttempts attempt;
   LcRefusal held = { .reason = LC_REFUSE_HELD, .owner = B };
   LcRefusal contested = { .reason = LC_REFUSE_HELD };
   LcStep step;
 
-  lc_attempt_init (&attempt, &(LcAttemptDesc){ .key = KEY, .is_caller_key = true });
-  step = lc_attempt_refused (&attempt, 1, lc_attempt_begin (&attempt, A, 1), &held);
-  ck_assert_int_eq (step.kind, LC_STEP_OWNER);
+  lc_attempts_init (&attempt, &(LcAttemptsDesc){ .key = KEY, .is_caller_key = true });
+  step = lc_attempts_handle_refusal (&attempt, 1, lc_attempts_begin (&attempt, A, 1), &held);
+  ck_assert_int_eq (step.kind, LC_STEP_TRY_OWNER);
   ck_assert (lc_member_ref_equal (step.owner, B));
-  step = lc_attempt_refused (&attempt, 2, lc_attempt_begin (&attempt, B, 2), &contested);
+  step = lc_attempts_handle_refusal (&attempt, 2, lc_attempts_begin (&attempt, B, 2), &contested);
   ck_assert_int_eq (step.kind, LC_STEP_FINISH);
   ck_assert_int_eq (step.outcome, LC_OUTCOME_UNKNOWN);
 }
@@ -141,7 +141,7 @@
   for (size_t i = 0; i < G_N_ELEMENTS (CASES); i++)
     {
       LcCallerAnswer answer =
-          lc_filter_answer (CASES[i].reason, CASES[i].outcome, 0, CASES[i].is_query);
+          lc_filter_error_answer (CASES[i].reason, CASES[i].outcome, 0, CASES[i].is_query);
 
       ck_assert_msg (answer.status == CASES[i].status, "case %zu: %u", i, answer.status);
       ck_assert_msg (answer.outcome == CASES[i].said, "case %zu", i);
@@ -167,10 +167,10 @@
   ck_assert_int_eq (lc_admission_submit (&a, 4, 600000, 0, &retry_us), LC_ADMISSION_FULL);
   ck_assert_int_gt (retry_us, 0);
   ck_assert_int_eq (lc_admission_submit (&a, 5, 5000, 0, &retry_us), LC_ADMISSION_TOO_LATE);
-  ck_assert (!lc_admission_next (&a, 10, &ticket));
-  lc_admission_end (&a, LC_RUN_OK, 0, 10000);
-  ck_assert (lc_admission_next (&a, 10000, &ticket) && ticket == 3);
-  ck_assert (lc_admission_expire (&a, 950000, &ticket) && ticket == 2);
+  ck_assert (!lc_admission_start_next (&a, 10, &ticket));
+  lc_admission_end_run (&a, LC_RUN_OK, 0, 10000);
+  ck_assert (lc_admission_start_next (&a, 10000, &ticket) && ticket == 3);
+  ck_assert (lc_admission_pop_expired (&a, 950000, &ticket) && ticket == 2);
   lc_admission_close (&a);
   ck_assert_int_eq (lc_admission_submit (&a, 6, 2000000, 960000, &retry_us), LC_ADMISSION_CLOSED);
 }
@@ -184,15 +184,15 @@
 
   lc_admission_init (&a, &(LcAdmissionDesc){ .slots = 4 });
   (void)lc_admission_submit (&a, 1, INT64_MAX, now_us, &retry_us);
-  lc_admission_end (&a, LC_RUN_SHED, now_us, now_us);
+  lc_admission_end_run (&a, LC_RUN_SHED, now_us, now_us);
   ck_assert_uint_eq (a.limit, 3);
   (void)lc_admission_submit (&a, 2, INT64_MAX, now_us, &retry_us);
-  lc_admission_end (&a, LC_RUN_SHED, now_us, now_us + 1);
+  lc_admission_end_run (&a, LC_RUN_SHED, now_us, now_us + 1);
   ck_assert_uint_eq (a.limit, 3); /* at most once a run's time */
   for (int i = 0; i < 3; i++)
     {
       (void)lc_admission_submit (&a, 3, INT64_MAX, now_us, &retry_us);
-      lc_admission_end (&a, LC_RUN_OK, now_us, now_us + 10000);
+      lc_admission_end_run (&a, LC_RUN_OK, now_us, now_us + 10000);
     }
   ck_assert_uint_eq (a.limit, 4);
 }
@@ -218,17 +218,17 @@
   add_endpoint (&s, 1, 1);
   add_endpoint (&s, 2, 2);
   lc_pick_init (&pick, &(LcPickDesc){ .own_dc = 1 });
-  lc_pick_set (&pick, &s, 1);
+  lc_pick_set_service (&pick, &s, 1);
   t = lc_pick_choose (&pick, 1, NULL, 0, 1);
   ck_assert_uint_eq (t->ref.id, 1);
   for (int i = 0; i < 4; i++)
-    lc_pick_begin (t, 1);
+    lc_pick_begin_attempt (t, 1);
   ck_assert_uint_eq (lc_pick_choose (&pick, 1, NULL, 0, 1)->ref.id, 2); /* spills over */
   for (int i = 0; i < 5; i++)
-    (void)lc_outlier_failure (&pick.targets[1].outlier, &pick.desc.outlier, 1);
+    (void)lc_outlier_record_failure (&pick.targets[1].outlier, &pick.desc.outlier, 1);
   ck_assert_uint_eq (lc_pick_choose (&pick, 1, NULL, 0, 1)->ref.id, 1); /* 2 is ejected */
   for (int i = 0; i < 5; i++)
-    (void)lc_outlier_failure (&pick.targets[0].outlier, &pick.desc.outlier, 1);
+    (void)lc_outlier_record_failure (&pick.targets[0].outlier, &pick.desc.outlier, 1);
   ck_assert_ptr_nonnull (lc_pick_choose (&pick, 1, NULL, 0, 1)); /* never avoids all of them */
   pick.targets[0].is_reachable = false;
   pick.targets[1].is_draining = true;
@@ -248,7 +248,7 @@
   add_endpoint (&s, 1, 1);
   add_endpoint (&s, 2, 2);
   lc_pick_init (&pick, &(LcPickDesc){ .own_dc = 1 });
-  lc_pick_set (&pick, &s, 1);
+  lc_pick_set_service (&pick, &s, 1);
   for (LcDcId evacuated = 0; evacuated <= 3; evacuated++)
     {
       const LcPickTarget *t;
@@ -293,9 +293,9 @@
       attempt.attempt_id.id = (LcRequestId){ 1, i };
       if (i >= 2)
         lc_request_agent_set_evacuated (&agent, i == 2);
-      (void)lc_request_agent_attempt (&agent, &attempt, 1);
+      (void)lc_request_agent_handle_attempt (&agent, &attempt, 1);
     }
-  while (lc_request_agent_take (&agent, &action))
+  while (lc_request_agent_next_action (&agent, &action))
     {
       if (action.kind == LC_AGENT_START)
         kinds[0] = action.kind;
@@ -338,7 +338,7 @@
       LcService s = { .id = 1 };
       LcPick pick;
       LcRetryBudget budget;
-      LcAttempt attempt = { 0 };
+      LcAttempts attempt = { 0 };
       LcAttemptPlanning planning = { .attempt = &attempt, .pick = &pick, .budget = &budget };
       LcAttemptPlan plan;
 
@@ -346,12 +346,12 @@
       add_endpoint (&s, 2, 1);
       lc_retry_init (&budget, 0);
       lc_pick_init (&pick, &(LcPickDesc){ .own_dc = 1 });
-      lc_pick_set (&pick, &s, 1);
+      lc_pick_set_service (&pick, &s, 1);
       for (uint32_t k = 0; cases[i].is_full && k < pick.targets[0].slots; k++)
-        lc_pick_begin (&pick.targets[0], 1);
+        lc_pick_begin_attempt (&pick.targets[0], 1);
       lc_pick_set_reachable (&pick.targets[1], cases[i].is_connecting);
-      lc_pick_connect (&pick.targets[1], 1);
-      lc_pick_connect (&pick.targets[1], 50 * LC_US_PER_MS); /* does not restart the time */
+      lc_pick_set_connecting (&pick.targets[1], 1);
+      lc_pick_set_connecting (&pick.targets[1], 50 * LC_US_PER_MS); /* does not restart the time */
       if (cases[i].is_lost)
         lc_pick_set_reachable (&pick.targets[1], false);
       pick.targets[1].is_draining = cases[i].is_draining;
@@ -375,28 +375,28 @@
   lc_retry_init (&budget, 0);
   for (int i = 0; i < 1000; i++)
     {
-      lc_retry_request (&budget);
-      taken += lc_retry_take (&budget);
+      lc_retry_deposit (&budget);
+      taken += lc_retry_withdraw (&budget);
     }
   ck_assert_uint_le (taken, 100 + LC_RETRY_FIRST_TOKENS);
   ck_assert_uint_ge (taken, 100);
   for (int i = 0; i < LC_HEDGE_MIN_SAMPLES - 1; i++)
-    lc_hedge_sample (&hedge, 10000);
-  ck_assert_int_eq (lc_hedge_after_us (&hedge), 0);
-  lc_hedge_sample (&hedge, 10000);
-  ck_assert_int_ge (lc_hedge_after_us (&hedge), 10000);
+    lc_hedge_record_latency (&hedge, 10000);
+  ck_assert_int_eq (lc_hedge_delay_us (&hedge), 0);
+  lc_hedge_record_latency (&hedge, 10000);
+  ck_assert_int_ge (lc_hedge_delay_us (&hedge), 10000);
   ck_assert_int_eq (lc_deadline_us (5, 0, 0), 5 + 30 * LC_US_PER_S);
   ck_assert_int_eq (lc_deadline_us (0, 500, 100), 100 * LC_US_PER_MS);
   ck_assert_int_eq (lc_deadline_us (0, 500, 9000), 500 * LC_US_PER_MS);
   ck_assert_int_eq (lc_deadline_us (0, 999999, 0), 60 * LC_US_PER_S);
-  ck_assert_int_eq (lc_deadline_left_us (100, 100), 0);
+  ck_assert_int_eq (lc_deadline_agent_left_us (100, 100), 0);
   /* A caller with a timeout of 3 s was answered at 3.00 s, after it had left (soak seed 6102). */
   ck_assert_int_eq (lc_deadline_answer_us (7, 0, 3000), 7 + 2950 * LC_US_PER_MS);
   ck_assert_int_eq (lc_deadline_answer_us (0, 0, 100), 90 * LC_US_PER_MS);
   ck_assert_int_eq (lc_deadline_answer_us (0, 500, 9000), 500 * LC_US_PER_MS);
   ck_assert_int_eq (lc_deadline_answer_us (0, 500, 0), 500 * LC_US_PER_MS);
   ck_assert_int_eq (lc_deadline_answer_us (0, 500, 520), 470 * LC_US_PER_MS);
-  ck_assert_int_eq (lc_deadline_left_us (1000, 0), 900);
+  ck_assert_int_eq (lc_deadline_agent_left_us (1000, 0), 900);
 }
 END_TEST
 
@@ -478,10 +478,10 @@
         {
           ck_assert_msg (!lc_request_key_is_none (r.key) == CASES[i].is_keyed, "case %zu", i);
           ck_assert (!CASES[i].is_keyed || lc_request_key_service (r.key) == 1);
-          ck_assert_int_eq (lc_limit_enter (&limit, 9), LC_LIMIT_CALLER);
-          ck_assert_int_eq (lc_limit_enter (&limit, 8), LC_LIMIT_OK);
-          lc_limit_leave (&limit, 8);
-          lc_limit_leave (&limit, 9);
+          ck_assert_int_eq (lc_limit_acquire (&limit, 9), LC_LIMIT_CALLER);
+          ck_assert_int_eq (lc_limit_acquire (&limit, 8), LC_LIMIT_OK);
+          lc_limit_release (&limit, 8);
+          lc_limit_release (&limit, 9);
         }
       ck_assert_uint_eq (limit.in_flight, 0);
     }
@@ -495,8 +495,8 @@
 START_TEST (test_claim_store)
 {
   LcClaimStore store;
-  LcClaimHold hold;
-  LcClaimHold other = { KEY, B, 1, 2000 };
+  LcClaimRecord hold;
+  LcClaimRecord other = { KEY, B, 1, 2000 };
 
   lc_claim_store_init (&store, &(LcClaimStoreDesc){ .max_claims = 1 });
   ck_assert_int_eq (lc_claim_store_claim (&store, KEY, A, 5, 1000, 0, &hold), LC_CLAIM_GRANTED);
@@ -524,27 +524,27 @@
 {
   LcMemberRef members[5];
   LcMemberRef homes[LC_CLAIM_HOMES];
-  LcClaimTry claim = { 0 };
+  LcClaimAcquire claim = { 0 };
 
   for (uint32_t i = 0; i < 5; i++)
     members[i] = (LcMemberRef){ i + 1, 101 + i };
-  lc_claim_try_start (&claim, KEY, A, 1, 7, members, 5);
+  lc_claim_acquire_start (&claim, KEY, A, 1, 7, members, 5);
   ck_assert_uint_eq (claim.n_homes, 3);
-  ck_assert_uint_eq (lc_claim_try_ask (&claim, homes), 1);
-  ck_assert_uint_eq (lc_claim_try_ask (&claim, homes), 0);
-  ck_assert_int_eq (lc_claim_try_answer (&claim, claim.homes[0], 1, 6, LC_CLAIM_HELD),
-                    LC_CLAIM_TRY_PENDING); /* of another era */
-  ck_assert_int_eq (lc_claim_try_answer (&claim, claim.homes[1], 1, 7, LC_CLAIM_GRANTED),
-                    LC_CLAIM_TRY_PENDING); /* was not asked */
-  ck_assert_int_eq (lc_claim_try_answer (&claim, claim.homes[0], 1, 7, LC_CLAIM_GRANTED),
-                    LC_CLAIM_TRY_PENDING);
-  ck_assert_uint_eq (lc_claim_try_ask (&claim, homes), 2);
-  ck_assert_int_eq (lc_claim_try_answer (&claim, claim.homes[1], 1, 7, LC_CLAIM_GRANTED),
-                    LC_CLAIM_TRY_PENDING);
-  ck_assert_int_eq (lc_claim_try_answer (&claim, claim.homes[2], 1, 7, LC_CLAIM_GRANTED),
-                    LC_CLAIM_TRY_CONFIRMED);
-  lc_claim_try_start (&claim, KEY, A, 2, 8, members, 0);
-  ck_assert_uint_eq (lc_claim_try_ask (&claim, homes), 0);
+  ck_assert_uint_eq (lc_claim_acquire_next_homes (&claim, homes), 1);
+  ck_assert_uint_eq (lc_claim_acquire_next_homes (&claim, homes), 0);
+  ck_assert_int_eq (lc_claim_acquire_handle_reply (&claim, claim.homes[0], 1, 6, LC_CLAIM_HELD),
+                    LC_CLAIM_ACQUIRE_PENDING); /* of another era */
+  ck_assert_int_eq (lc_claim_acquire_handle_reply (&claim, claim.homes[1], 1, 7, LC_CLAIM_GRANTED),
+                    LC_CLAIM_ACQUIRE_PENDING); /* was not asked */
+  ck_assert_int_eq (lc_claim_acquire_handle_reply (&claim, claim.homes[0], 1, 7, LC_CLAIM_GRANTED),
+                    LC_CLAIM_ACQUIRE_PENDING);
+  ck_assert_uint_eq (lc_claim_acquire_next_homes (&claim, homes), 2);
+  ck_assert_int_eq (lc_claim_acquire_handle_reply (&claim, claim.homes[1], 1, 7, LC_CLAIM_GRANTED),
+                    LC_CLAIM_ACQUIRE_PENDING);
+  ck_assert_int_eq (lc_claim_acquire_handle_reply (&claim, claim.homes[2], 1, 7, LC_CLAIM_GRANTED),
+                    LC_CLAIM_ACQUIRE_CONFIRMED);
+  lc_claim_acquire_start (&claim, KEY, A, 2, 8, members, 0);
+  ck_assert_uint_eq (lc_claim_acquire_next_homes (&claim, homes), 0);
 }
 END_TEST
 
@@ -609,19 +609,19 @@
 
 /* Answers as a surviving member that is complete at the same era as this one. */
 static void
-answer_step (LcClaimEra *era, LcEndpointId id, int64_t now_us)
+answer_step (LcClaimSync *era, LcEndpointId id, int64_t now_us)
 {
-  LcClaimSource source = { .member = { id, 1000 + id }, .era = lc_claim_era_now (era) };
+  LcClaimSource source = { .member = { id, 1000 + id }, .era = lc_claim_sync_present_era (era) };
 
-  source.target_era = lc_claim_era_target (era);
+  source.target_era = lc_claim_sync_target_era (era);
   source.complete = era->complete;
   source.complete_from = era->complete_from;
   if (source.target_era != 0)
-    lc_claim_era_source (era, &source, now_us);
+    lc_claim_sync_add_source (era, &source, now_us);
 }
 
 static void
-show_set (LcClaimEra *era,
+show_set (LcClaimSync *era,
           LcView *view,
           const LcEndpointId members[N_HOMES],
           LcRevision revision,
@@ -652,26 +652,26 @@
       (void)g_snprintf (op.endpoint.name, sizeof op.endpoint.name, "e%u", members[i]);
       ck_assert_int_eq (lc_view_apply (view, &op, NULL), 0);
     }
-  lc_claim_era_set (era, lc_view_service (view, 1), now_us);
+  lc_claim_sync_set_service (era, lc_view_service (view, 1), now_us);
 }
 
 START_TEST (test_lost_sets_are_waited_for_together)
 {
   const LostCase *c = &LOST_CASES[_i];
-  LcClaimEraDesc desc = { .self = { 1, 1001 } };
+  LcClaimSyncDesc desc = { .self = { 1, 1001 } };
   LcViewOp service = { .kind = LC_VIEW_SERVICE,
                        .revision = 1,
                        .service = { .id = 1, .name = "desk" } };
   int64_t now_s = 0;
-  LcClaimEra era;
+  LcClaimSync era;
   LcView view;
   int next = 1;
 
   lc_view_init (&view);
   ck_assert_int_eq (lc_view_apply (&view, &service, NULL), 0);
-  lc_claim_era_init (&era, &desc);
+  lc_claim_sync_init (&era, &desc);
   show_set (&era, &view, c->members[0], 2, 0);
-  for (; lc_claim_era_target (&era) != 0 || now_s <= c->ended_s[0]; now_s++)
+  for (; lc_claim_sync_target_era (&era) != 0 || now_s <= c->ended_s[0]; now_s++)
     {
       ck_assert_msg (now_s < 600, "%s", c->what);
       if (next < N_ERAS && c->ended_s[next - 1] == now_s && now_s != 0)
@@ -682,12 +682,12 @@
       for (int i = 0; i < N_ERAS && is_in (c->members[1], 2); i++)
         {
           answer_step (&era, 2, now_s * LC_US_PER_S);
-          lc_claim_era_tick (&era, now_s * LC_US_PER_S);
+          lc_claim_sync_tick (&era, now_s * LC_US_PER_S);
         }
-      lc_claim_era_tick (&era, now_s * LC_US_PER_S);
+      lc_claim_sync_tick (&era, now_s * LC_US_PER_S);
     }
   ck_assert_msg (now_s - 1 == c->known_s, "%s: after %d s", c->what, (int)now_s - 1);
-  lc_claim_era_finish (&era);
+  lc_claim_sync_finish (&era);
   lc_view_finish (&view);
 }
 END_TEST
