--- a/src/core/flow/lc-envelope.h
+++ b/src/core/flow/lc-envelope.h
@@ -48,8 +48,8 @@
   {
     LC_ENVELOPE_PACKET = 1,
     LC_ENVELOPE_MESSAGE = 2,
-    LC_ENVELOPE_PROBE =
-        3, /* balancer to agent: liveness probe (lc-probe-detector.h); the prefix alone */
+    /* balancer to agent: liveness probe (lc-probe-detector.h); the prefix alone */
+    LC_ENVELOPE_PROBE = 3,
     LC_ENVELOPE_PROBE_ANSWER = 4,
   } LcEnvelopeKind;
 
--- a/src/core/flow/lc-flow-search.h
+++ b/src/core/flow/lc-flow-search.h
@@ -54,9 +54,9 @@
     LC_FLOW_SEARCHES_MAX = 512,      /* concurrent searches; each stores one packet */
     LC_FLOW_SEARCH_TARGETS_MAX = 64, /* endpoints to which a packet is sent at a time */
     LC_FLOW_SEARCH_MEMBERS_MAX = 2048,
-    LC_FLOW_ROUNDS_MAX =
-        64, /* concurrent: one silent member keeps each open for LC_FLOW_SEARCH_TIMEOUT_US, and
-                            20 a second begin */
+    /* Concurrent rounds: one silent member keeps each open for LC_FLOW_SEARCH_TIMEOUT_US, and 20 a
+     * second begin. */
+    LC_FLOW_ROUNDS_MAX = 64,
     LC_FLOW_ROUND_KEYS = 32, /* flows of a round: one message (LC_FLOW_BATCH_MAX) */
   };
 
--- a/src/core/request/lc-claim-sync.h
+++ b/src/core/request/lc-claim-sync.h
@@ -78,8 +78,8 @@
 
   enum
   {
-    LC_CLAIM_SYNC_MAX_INCARNATIONS =
-        16, /* restarts within the time that claims are kept; older ones are dropped */
+    /* restarts within the time that claims are kept; older ones are dropped */
+    LC_CLAIM_SYNC_MAX_INCARNATIONS = 16,
   };
 
   /* What a process must persist besides its claims to resume after a restart. */
--- a/src/core/request/lc-pick.c
+++ b/src/core/request/lc-pick.c
@@ -9,8 +9,8 @@
   LC_PICK_RAMP_FLOOR_PERCENT = 10,
   LC_PICK_MAX_HALVINGS = 20,
   LC_PICK_SMOOTHING = 8,
-  LC_PICK_SERVICE_TIME_DIVISOR =
-      24, /* slow endpoints free their slots late: they get a little less */
+  /* slow endpoints free their slots late: they get a little less */
+  LC_PICK_SERVICE_TIME_DIVISOR = 24,
 };
 
 #define LC_PICK_DISTANCE_US (2 * LC_US_PER_MS)
--- a/src/core/request/lc-request-agent.h
+++ b/src/core/request/lc-request-agent.h
@@ -81,8 +81,8 @@
     LC_AGENT_READ_CLAIMS = 8,  /* read: request the member's claims */
     LC_AGENT_PERSIST = 9,      /* keep: persist the claim for a restart, before any later action and
                            * before the reply to the call that changed it */
-    LC_AGENT_CLAIM_DELAYED =
-        10, /* claim_delayed: the key can't be claimed for now; once a run, for logs */
+    /* claim_delayed: the key can't be claimed for now; once a run, for logs */
+    LC_AGENT_CLAIM_DELAYED = 10,
   } LcAgentActionKind;
 
   typedef struct
