--- a/src/cli/lc-cli-attention.h
+++ b/src/cli/lc-cli-attention.h
@@ -1,12 +1,12 @@
-/* lc-cli-attention: what in control's status needs a person, each with its remedy.
+/* lc-cli-attention: problems in control's status that an operator must act on, with remedies.
  *
  * HOW TO USE IT
  *     GPtrArray *lines = lc_cli_attention (status);      char *, most urgent first
  *     g_ptr_array_free (lines, TRUE);
  *
  * RULES
- *   What mends itself is not listed until it has lasted: a control VM silent for 10 s, a data
- *   centre that has not acknowledged for 9 s (the time in which a change must be in force).
+ *   What may recover by itself is listed only after a while: a control VM silent for 10 s, a data
+ *   centre that has not acknowledged for 9 s (the time within which a change must be in force).
  */
 #ifndef LC_CLI_ATTENTION_H
 #define LC_CLI_ATTENTION_H
--- a/src/cli/lc-cli-burn.c
+++ b/src/cli/lc-cli-burn.c
@@ -20,12 +20,12 @@
 /* === private: reading and writing =========================================================== */
 
 static int
-lc_cli_burn__write_html (const LcBurnCollect *collect,
+lc_cli_burn__write_html (const LcBurnCollect *collector,
                          const char *service,
                          const char *path,
                          LcError *error)
 {
-  char *html = lc_burn_to_html (collect, service);
+  char *html = lc_burn_to_html (collector, service);
   GError *gerror = NULL;
   int r = 0;
 
@@ -39,10 +39,10 @@
 }
 
 static int
-lc_cli_burn__check (const LcBurnCollect *collect, const char *service, LcError *error)
+lc_cli_burn__check (const LcBurnCollect *collector, const char *service, LcError *error)
 {
-  for (guint s = 0; service != NULL && s < collect->services->len; s++)
-    if (strcmp (g_array_index (collect->services, LcBurnServiceRow, s).name, service) == 0)
+  for (guint s = 0; service != NULL && s < collector->services->len; s++)
+    if (strcmp (g_array_index (collector->services, LcBurnServiceRow, s).name, service) == 0)
       return 0;
   if (service == NULL)
     return 0;
@@ -51,7 +51,7 @@
 }
 
 static int
-lc_cli_burn__collect (LcBurnCollect *collect,
+lc_cli_burn__collect (LcBurnCollect *collector,
                       LcCliCommon *common,
                       const LcCliBurnArgs *args,
                       LcError *error)
@@ -64,28 +64,28 @@
     return lc_error_set (error, LC_ERR_INVALID, "use a port from 1 to 65535",
                          "--admin-port %d is out of range", port);
   if (args->history->count > 0)
-    r = lc_burn_history_load (collect, args->history->filename[0], error);
+    r = lc_burn_history_load (collector, args->history->filename[0], error);
   if (r == 0)
     r = lc_cli_client_call (&common->client, "GET", "/v1/status", NULL, &status, error);
   if (r == 0)
-    lc_burn_collect_site (collect, status, (uint16_t)port);
+    lc_burn_collect_site (collector, status, (uint16_t)port);
   json_decref (status);
   if (r == 0 && args->history->count > 0)
-    r = lc_burn_history_save (collect, args->history->filename[0], error);
+    r = lc_burn_history_save (collector, args->history->filename[0], error);
   return r;
 }
 
 static void
-lc_cli_burn__print (const LcCliCommon *common, const LcBurnCollect *collect, const char *service)
+lc_cli_burn__print (const LcCliCommon *common, const LcBurnCollect *collector, const char *service)
 {
   json_t *json;
 
   if (!common->is_json)
     {
-      lc_burn_print_text (collect, service, stdout);
+      lc_burn_print_text (collector, service, stdout);
       return;
     }
-  json = lc_burn_to_json (collect, service);
+  json = lc_burn_to_json (collector, service);
   lc_cli_print_json (json);
   json_decref (json);
 }
@@ -95,22 +95,22 @@
 {
   const char *service = args->service->count > 0 ? args->service->sval[0] : NULL;
   bool is_paging = false;
-  LcBurnCollect collect;
+  LcBurnCollect collector;
   LcError error = { 0 };
   int r;
 
-  lc_burn_collect_init (&collect);
-  r = lc_cli_burn__collect (&collect, common, args, &error);
+  lc_burn_collect_init (&collector);
+  r = lc_cli_burn__collect (&collector, common, args, &error);
   if (r == 0)
-    r = lc_cli_burn__check (&collect, service, &error);
+    r = lc_cli_burn__check (&collector, service, &error);
   if (r == 0 && args->html->count > 0)
-    r = lc_cli_burn__write_html (&collect, service, args->html->filename[0], &error);
+    r = lc_cli_burn__write_html (&collector, service, args->html->filename[0], &error);
   if (r == 0)
     {
-      lc_cli_burn__print (common, &collect, service);
-      is_paging = lc_burn_any_at (&collect, service, LC_BURN_PAGE);
+      lc_cli_burn__print (common, &collector, service);
+      is_paging = lc_burn_any_at (&collector, service, LC_BURN_PAGE);
     }
-  lc_burn_collect_finish (&collect);
+  lc_burn_collect_finish (&collector);
   if (r < 0)
     return lc_cli_fail (common, &error);
   return is_paging && args->fail_on_page->count > 0 ? LC_CLI_FAILED : LC_CLI_DONE;
--- a/src/cli/lc-cli-client.c
+++ b/src/cli/lc-cli-client.c
@@ -14,7 +14,7 @@
 enum
 {
   LC_CLI_CONNECT_MS = 500,
-  LC_CLI_TRY_MS = 6000, /* one VM's share: longer than control waits for a commit */
+  LC_CLI_TRY_MS = 6000, /* for one VM; longer than control waits for a commit */
   LC_CLI_PAUSE_MS = 100,
   LC_CLI_ANSWER_MAX = 64 << 20,
   LC_CLI_READ_BYTES = 64 << 10,
@@ -81,7 +81,7 @@
   return true;
 }
 
-/* Reads until control closes the connection, which the request asks for. */
+/* Reads until control closes the connection, as "Connection: close" asks. */
 static bool
 lc_cli__receive (int fd, GString *answer, int64_t deadline_us)
 {
@@ -105,7 +105,7 @@
   return is_whole;
 }
 
-/* The status and the whole body, or -1: an answer that ended early is no answer. */
+/* Returns the HTTP status and the body, or -1 if the response is malformed or truncated. */
 static int
 lc_cli__parse (const GString *answer, const char **body, size_t *body_len)
 {
@@ -153,7 +153,7 @@
   return *json != NULL ? status : -1;
 }
 
-/* === private: errors of control ============================================================= */
+/* === private: error responses =============================================================== */
 
 static LcErrorCode
 lc_cli__code (const char *name)
@@ -176,7 +176,7 @@
                        message != NULL ? message : "control refused it");
 }
 
-/* Whether another control VM, or this one later, may serve it. */
+/* Whether to try another control VM, or this one later. */
 static bool
 lc_cli__may_pass (int status)
 {
--- a/src/cli/lc-cli-confirm.c
+++ b/src/cli/lc-cli-confirm.c
@@ -19,7 +19,7 @@
 
 /* === private: waiting until it is in force ================================================== */
 
-/* How many data centres with nodes have not yet put `revision` in force. */
+/* Counts the data centres with processes where `revision` is not yet in force. */
 static size_t
 lc_cli_confirm__n_behind (const json_t *status, json_int_t revision)
 {
@@ -30,10 +30,10 @@
 
   json_array_foreach (dcs, i, dc)
   {
-    json_int_t n_nodes = json_integer_value (json_object_get (dc, "balancers")) +
-                         json_integer_value (json_object_get (dc, "agents"));
+    json_int_t n_processes = json_integer_value (json_object_get (dc, "balancers")) +
+                             json_integer_value (json_object_get (dc, "agents"));
 
-    if (n_nodes > 0 && json_integer_value (json_object_get (dc, "in_force")) < revision)
+    if (n_processes > 0 && json_integer_value (json_object_get (dc, "in_force")) < revision)
       n++;
   }
   return n;
--- a/src/cli/lc-cli-explain.c
+++ b/src/cli/lc-cli-explain.c
@@ -1,5 +1,5 @@
-/* lychee explain: from a flow's id to what happened to it, and how changes spread, out of log
- * files. */
+/* lychee explain: finds in log files what happened to a flow or request, and how fast changes
+ * propagate. */
 #include "lc-cli.h"
 #include "lc-explain.h"
 #include "lc-spread.h"
@@ -13,7 +13,7 @@
 {
   LC_CLI_EXPLAIN_FILES_MAX = 4096,
   LC_CLI_EXPLAIN_ERRORS_MAX = 20,
-  LC_CLI_EXPLAIN_AROUND_MS = 2000, /* as long as a suspect agent or an election goes on */
+  LC_CLI_EXPLAIN_AROUND_MS = 2000, /* as long as an election or the suspicion of an agent takes */
 };
 
 typedef struct
@@ -58,7 +58,7 @@
   return false;
 }
 
-/* What lines about the flow or request itself begin with. */
+/* Marks lines of the flow or request itself, as opposed to context. */
 static char
 lc_cli_explain__mark (const LcExplainLine *line)
 {
@@ -90,7 +90,7 @@
   (void)putchar ('\n');
 }
 
-/* === the two questions ====================================================================== */
+/* === flows and requests ===================================================================== */
 
 static int
 lc_cli_explain__nothing (const LcExplainLog *log)
@@ -163,7 +163,7 @@
   return n > 0 ? LC_CLI_DONE : lc_cli_explain__nothing (log);
 }
 
-/* === the spread of changes ================================================================== */
+/* === propagation of changes ================================================================= */
 
 static int
 lc_cli_explain__write_svg (const LcSpread *spread, const char *path)
--- a/src/cli/lc-cli-plan.c
+++ b/src/cli/lc-cli-plan.c
@@ -13,7 +13,7 @@
   struct arg_lit *allow_cut;
 } LcCliPlanArgs;
 
-/* What each intent needs besides its name. */
+/* The arguments that each intent requires. */
 static const struct
 {
   const char *name;
@@ -73,7 +73,7 @@
   return 0;
 }
 
-/* NAME=ADDRESS:PORT */
+/* Adds --with NAME=ADDRESS:PORT. */
 static int
 lc_cli_plan__add_with (const LcCliPlanArgs *args, json_t *request, LcError *error)
 {
--- a/src/cli/lc-cli-status.c
+++ b/src/cli/lc-cli-status.c
@@ -10,7 +10,7 @@
   LC_CLI_LEADER_MS = 1000,
 };
 
-/* === private: reading =======================================================================  */
+/* === private: JSON fields =================================================================== */
 
 static json_int_t
 lc_cli__int (const json_t *object, const char *key)
@@ -152,8 +152,8 @@
   g_ptr_array_free (lines, TRUE);
 }
 
-/* A follower knows less (who is silent, what is in force); the leader is asked instead when its
- * address is among the given ones and it answers. */
+/* A follower's status lacks silences and what is in force.  It is replaced by the leader's if the
+ * leader's address is among the given ones and it answers. */
 static void
 lc_cli_status__prefer_leader (const LcCliCommon *common, json_t **answer)
 {
--- a/src/cli/lc-cli.c
+++ b/src/cli/lc-cli.c
@@ -127,7 +127,7 @@
               int argc,
               char **argv,
               const char *name,
-              const char *what)
+              const char *summary)
 {
   LcError error = { 0 };
   int n_errors = arg_parse (argc, argv, table);
@@ -137,7 +137,7 @@
     {
       (void)printf ("Usage: lychee %s", name);
       arg_print_syntax (stdout, table, "\n");
-      (void)printf ("%s\n", what);
+      (void)printf ("%s\n", summary);
       arg_print_glossary (stdout, table, "  %-28s %s\n");
       return LC_CLI_DONE;
     }
--- a/src/cli/lc-cli.h
+++ b/src/cli/lc-cli.h
@@ -1,19 +1,21 @@
-/* lc-cli: what the subcommands of `lychee` share.
+/* lc-cli: the frame of the subcommands of `lychee`: common options, error output, exit codes.
  *
  * WHAT IT IS
  *   A subcommand is one function with its own argtable, in one file, and one line in the table of
- *   main.c.  LcCliCommon gives it the options that all have (where control is, JSON output, who
- *   asks, request id) and turns them into a client.
+ *   main.c.  LcCliCommon adds the options that most have (control addresses, JSON output, the
+ *   operator's name, request id) and sets up a client from them.
  *
  * HOW TO USE IT
  *     LcCliCommon common;
  *     lc_cli_common_init (&common);
  *     void *table[] = { mine, LC_CLI_COMMON_ARGS (common) };
  *     r = lc_cli_parse (&common, table, G_N_ELEMENTS (table), argc, argv, "plan", "what it does");
- *     if (r != LC_CLI_RUN) return lc_cli_finish (&common, table, G_N_ELEMENTS (table), r);
+ *     if (r == LC_CLI_RUN)
+ *       r = run (&common);
+ *     return lc_cli_finish (table, G_N_ELEMENTS (table), r);
  *
  * EXIT CODES
- *   0 done, 1 failed, 2 usage, 3 conflict (somebody else was first: plan again).
+ *   0 done, 1 failed, 2 usage, 3 conflict (another change came first: plan again).
  */
 #ifndef LC_CLI_H
 #define LC_CLI_H
@@ -25,7 +27,7 @@
 
 enum
 {
-  LC_CLI_RUN = -1, /* go on */
+  LC_CLI_RUN = -1, /* no exit code: run the subcommand */
   LC_CLI_DONE = 0,
   LC_CLI_FAILED = 1,
   LC_CLI_USAGE = 2,
@@ -59,15 +61,15 @@
                   int argc,
                   char **argv,
                   const char *name,
-                  const char *what);
-/* Frees the table and returns `r`. */
+                  const char *summary);
+/* Frees the table; returns `r`. */
 int lc_cli_finish (void **table, int n_table, int r);
 
-/* Prints an error (as JSON too) and returns the exit code that fits it. */
+/* Prints an error, with --json as JSON, and returns its exit code. */
 int lc_cli_fail (const LcCliCommon *common, const LcError *error);
 /* Prints a JSON value on one line. */
 void lc_cli_print_json (const json_t *value);
-/* A fresh object with request_id and who. */
+/* Creates a request body with request_id and who. */
 json_t *lc_cli_request (const LcCliCommon *common);
 
 /* The subcommands; argv[0] is the subcommand's name. */
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -12,7 +12,7 @@
   const char *help;
 } LcCliCommand;
 
-/* A new subcommand is a file of its own and one line here. */
+/* Each subcommand has a file of its own and one line here. */
 static const LcCliCommand LC_CLI_COMMANDS[] = {
   { "plan", lc_cli_plan, "show what an intent would change" },
   { "confirm", lc_cli_confirm, "carry out a plan" },
--- a/tests/platform/test-attention.c
+++ b/tests/platform/test-attention.c
@@ -1,4 +1,4 @@
-/* What needs a person, from control's status. */
+/* Guards against problems in control's status that are not listed, or listed before their limit. */
 #include "cli/lc-cli-attention.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -8,7 +8,7 @@
 
 #define FINE "\"leader\":\"c1\",\"is_leader\":true,\"name\":\"c1\""
 
-/* A status and a part of each line that it must give, in order. */
+/* A status and a part of each line that it must produce, in order. */
 static const struct
 {
   const char *status;
