--- a/src/cli/lc-burn-collect.c
+++ b/src/cli/lc-burn-collect.c
@@ -14,23 +14,23 @@
 } LcBurnProcess;
 
 void
-lc_burn_collect_init (LcBurnCollect *collect)
+lc_burn_collect_init (LcBurnCollect *collector)
 {
-  memset (collect, 0, sizeof *collect);
-  collect->merge = lc_burn_merge_new ();
-  collect->services = g_array_new (FALSE, TRUE, sizeof (LcBurnServiceRow));
-  collect->data_centres = g_ptr_array_new_with_free_func (g_free);
-  collect->unheard = g_ptr_array_new_with_free_func (g_free);
-  collect->now_us = lc_clock_wall_us ();
+  memset (collector, 0, sizeof *collector);
+  collector->merge = lc_burn_merge_new ();
+  collector->services = g_array_new (FALSE, TRUE, sizeof (LcBurnServiceRow));
+  collector->data_centres = g_ptr_array_new_with_free_func (g_free);
+  collector->unanswered = g_ptr_array_new_with_free_func (g_free);
+  collector->now_us = lc_clock_wall_us ();
 }
 
 void
-lc_burn_collect_finish (LcBurnCollect *collect)
+lc_burn_collect_finish (LcBurnCollect *collector)
 {
-  lc_burn_merge_free (collect->merge);
-  g_array_free (collect->services, TRUE);
-  g_ptr_array_free (collect->data_centres, TRUE);
-  g_ptr_array_free (collect->unheard, TRUE);
+  lc_burn_merge_free (collector->merge);
+  g_array_free (collector->services, TRUE);
+  g_ptr_array_free (collector->data_centres, TRUE);
+  g_ptr_array_free (collector->unanswered, TRUE);
 }
 
 /* === private: one answer ==================================================================== */
@@ -41,7 +41,7 @@
   return json_string_value (json_object_get (object, key));
 }
 
-/* The counters' order is told by the answer, so that another version may know more of them. */
+/* An answer names its counters in order, so that another version may have more of them. */
 static bool
 lc_burn_collect__columns (const json_t *answer, size_t columns[LC_N_BURN_COUNTERS])
 {
@@ -80,7 +80,7 @@
 }
 
 static bool
-lc_burn_collect__service (LcBurnCollect *collect,
+lc_burn_collect__service (LcBurnCollect *collector,
                           const json_t *service,
                           LcBurnKey *key,
                           const size_t *columns,
@@ -100,13 +100,13 @@
 
     if (!lc_burn_collect__sample (&sample, row, columns))
       return false;
-    (void)lc_burn_merge_add (collect->merge, key, at_us, uptime_us, &sample);
+    (void)lc_burn_merge_add (collector->merge, key, at_us, uptime_us, &sample);
   }
   return true;
 }
 
 bool
-lc_burn_collect_answer (LcBurnCollect *collect, const json_t *answer, int64_t at_us)
+lc_burn_collect_answer (LcBurnCollect *collector, const json_t *answer, int64_t at_us)
 {
   const json_t *services = json_object_get (answer, "services");
   const char *instance = lc_burn_collect__text (answer, "instance");
@@ -124,13 +124,13 @@
   key.weight_percent = (uint32_t)json_integer_value (json_object_get (answer, "weight_percent"));
   json_array_foreach (services, i, service)
   {
-    if (!lc_burn_collect__service (collect, service, &key, columns, at_us, uptime_us))
+    if (!lc_burn_collect__service (collector, service, &key, columns, at_us, uptime_us))
       return false;
   }
   return true;
 }
 
-/* === private: asking ======================================================================== */
+/* === private: queries ======================================================================= */
 
 static void
 lc_burn_collect__ask (gpointer data, gpointer user)
@@ -174,31 +174,31 @@
 
   for (guint i = 0; i < processes->len; i++)
     (void)g_thread_pool_push (pool, &g_array_index (processes, LcBurnProcess, i), NULL);
-  g_thread_pool_free (pool, FALSE, TRUE); /* waits for all */
+  g_thread_pool_free (pool, FALSE, TRUE); /* waits for all answers */
 }
 
 static void
-lc_burn_collect__take (LcBurnCollect *collect, LcBurnProcess *process)
+lc_burn_collect__take (LcBurnCollect *collector, LcBurnProcess *process)
 {
   char text[16];
 
-  collect->n_asked++;
+  collector->n_queried++;
   if (process->answer == NULL)
     {
       (void)g_snprintf (text, sizeof text, "%u.%u.%u.%u", process->address.ipv4 >> 24,
                         (process->address.ipv4 >> 16) & 255, (process->address.ipv4 >> 8) & 255,
                         process->address.ipv4 & 255);
-      g_ptr_array_add (collect->unheard,
+      g_ptr_array_add (collector->unanswered,
                        g_strdup_printf ("%s at %s:%u", process->name, text, process->address.port));
       return;
     }
-  if (!lc_burn_collect_answer (collect, process->answer, process->at_us))
-    collect->n_malformed++;
+  if (!lc_burn_collect_answer (collector, process->answer, process->at_us))
+    collector->n_malformed++;
   json_decref (process->answer);
 }
 
 static void
-lc_burn_collect__add_services (LcBurnCollect *collect, const json_t *list)
+lc_burn_collect__add_services (LcBurnCollect *collector, const json_t *list)
 {
   size_t i;
   json_t *one;
@@ -214,31 +214,31 @@
     row.objective.good_ppm = (uint32_t)json_integer_value (json_object_get (one, "objective_ppm"));
     row.objective.latency_ms =
         (uint32_t)json_integer_value (json_object_get (one, "objective_latency_ms"));
-    g_array_append_val (collect->services, row);
+    g_array_append_val (collector->services, row);
   }
-  for (guint s = 0; s < collect->services->len; s++)
+  for (guint s = 0; s < collector->services->len; s++)
     {
-      LcBurnServiceRow *row = &g_array_index (collect->services, LcBurnServiceRow, s);
+      LcBurnServiceRow *row = &g_array_index (collector->services, LcBurnServiceRow, s);
 
       row->objective.service = row->name;
     }
 }
 
 void
-lc_burn_collect_site (LcBurnCollect *collect, const json_t *status, uint16_t admin_port)
+lc_burn_collect_site (LcBurnCollect *collector, const json_t *status, uint16_t admin_port)
 {
   GArray *processes = g_array_new (FALSE, TRUE, sizeof (LcBurnProcess));
   const json_t *dcs = json_object_get (status, "data_centres");
 
-  lc_burn_collect__add_services (collect, json_object_get (status, "services"));
+  lc_burn_collect__add_services (collector, json_object_get (status, "services"));
   for (size_t i = 0; i < json_array_size (dcs); i++)
-    g_ptr_array_add (collect->data_centres,
+    g_ptr_array_add (collector->data_centres,
                      g_strdup (lc_burn_collect__text (json_array_get (dcs, i), "name")));
   lc_burn_collect__add_processes (processes, json_object_get (status, "balancers"), admin_port);
   lc_burn_collect__add_processes (processes, json_object_get (status, "endpoints"), admin_port);
   lc_burn_collect__ask_all (processes);
   for (guint i = 0; i < processes->len; i++)
-    lc_burn_collect__take (collect, &g_array_index (processes, LcBurnProcess, i));
+    lc_burn_collect__take (collector, &g_array_index (processes, LcBurnProcess, i));
   g_array_free (processes, TRUE);
-  collect->now_us = lc_clock_wall_us ();
+  collector->now_us = lc_clock_wall_us ();
 }
--- a/src/cli/lc-burn-collect.h
+++ b/src/cli/lc-burn-collect.h
@@ -1,16 +1,16 @@
-/* lc-burn-collect: asks every process for its burn history and merges the answers.
+/* lc-burn-collect: fetches the burn history of each balancer and agent and merges them.
  *
  * WHAT IT IS
- *   Control names the services with their objectives and the balancers and agents with their
- *   addresses; each of these answers GET /v1/burn on its admin port.  Up to LC_BURN_THREADS are
- *   asked at once.  A process that doesn't answer is named, never guessed.
+ *   Control's status lists the services with their objectives and the balancers and agents with
+ *   their addresses; each of these serves GET /v1/burn on its admin port.  Up to LC_BURN_THREADS
+ *   are queried at once.  A process that doesn't answer is listed by name, never estimated.
  *
  * HOW TO USE IT
- *     LcBurnCollect collect;
- *     lc_burn_collect_init (&collect);
- *     r = lc_burn_collect_site (&collect, status_json, 9100);
- *     ... collect.merge, collect.services, collect.now_us ...
- *     lc_burn_collect_finish (&collect);
+ *     LcBurnCollect collector;
+ *     lc_burn_collect_init (&collector);
+ *     lc_burn_collect_site (&collector, status_json, 9100);
+ *     ... collector.merge, collector.services, collector.now_us ...
+ *     lc_burn_collect_finish (&collector);
  */
 #ifndef LC_BURN_COLLECT_H
 #define LC_BURN_COLLECT_H
@@ -30,30 +30,30 @@
 typedef struct
 {
   char name[LC_NAME_MAX];
-  LcBurnObjective objective; /* its service is `name` */
+  LcBurnObjective objective; /* objective.service points to `name` */
 } LcBurnServiceRow;
 
 typedef struct
 {
   LcBurnMerge *merge;
   GArray *services;        /* LcBurnServiceRow */
-  GPtrArray *data_centres; /* char *, in control's order */
-  GPtrArray *unheard;      /* char *, "name at address" */
-  uint32_t n_asked;
-  uint32_t n_malformed; /* answers that were no burn history */
+  GPtrArray *data_centres; /* char *, as control orders them */
+  GPtrArray *unanswered;   /* char *, "name at address" */
+  uint32_t n_queried;
+  uint32_t n_malformed; /* answers that are no burn history */
   int64_t now_us;       /* wall clock: histories outlive a reboot of the operator's machine */
 } LcBurnCollect;
 
-void lc_burn_collect_init (LcBurnCollect *collect);
-void lc_burn_collect_finish (LcBurnCollect *collect);
-/* Takes control's status; asks all balancers and agents that it names. */
-void lc_burn_collect_site (LcBurnCollect *collect, const json_t *status, uint16_t admin_port);
-/* Merges one process's answer, received at `at_us`; false when it is malformed. */
-bool lc_burn_collect_answer (LcBurnCollect *collect, const json_t *answer, int64_t at_us);
-
-/* A file of samples from earlier runs, so that counts outlive the processes that made them.
- * Loading a file that doesn't exist is no error; saving drops what is older than three days. */
-int lc_burn_history_load (LcBurnCollect *collect, const char *path, LcError *error);
-int lc_burn_history_save (const LcBurnCollect *collect, const char *path, LcError *error);
+void lc_burn_collect_init (LcBurnCollect *collector);
+void lc_burn_collect_finish (LcBurnCollect *collector);
+/* Queries all balancers and agents that control's status lists. */
+void lc_burn_collect_site (LcBurnCollect *collector, const json_t *status, uint16_t admin_port);
+/* Merges one process's answer, received at `at_us`; false if it is malformed. */
+bool lc_burn_collect_answer (LcBurnCollect *collector, const json_t *answer, int64_t at_us);
+
+/* A file of samples from earlier runs, so that counts outlive the processes that counted.
+ * Loading a missing file is no error; saving drops samples older than three days. */
+int lc_burn_history_load (LcBurnCollect *collector, const char *path, LcError *error);
+int lc_burn_history_save (const LcBurnCollect *collector, const char *path, LcError *error);
 
 #endif /* LC_BURN_COLLECT_H */
--- a/src/cli/lc-burn-history.c
+++ b/src/cli/lc-burn-history.c
@@ -3,7 +3,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* One JSON line a sample:
+/* The file has one JSON object per line and sample:
  * {"instance":"...","process":"...","service":"...","data_centre":"...","weight_percent":0,
  *  "started_at_us":0,"sample":[uptime_us, counts ...]} */
 
@@ -12,7 +12,7 @@
 /* === loading ================================================================================ */
 
 static bool
-lc_burn_history__take (LcBurnCollect *collect, const json_t *line)
+lc_burn_history__take (LcBurnCollect *collector, const json_t *line)
 {
   LcBurnKey key = { .process = json_string_value (json_object_get (line, "process")),
                     .service = json_string_value (json_object_get (line, "service")),
@@ -30,12 +30,12 @@
   sample.uptime_us = json_integer_value (json_array_get (row, 0));
   for (size_t i = 0; i < LC_N_BURN_COUNTERS; i++)
     sample.counts.values[i] = (uint64_t)json_integer_value (json_array_get (row, i + 1));
-  (void)lc_burn_merge_add (collect->merge, &key, started_at_us, 0, &sample);
+  (void)lc_burn_merge_add (collector->merge, &key, started_at_us, 0, &sample);
   return true;
 }
 
 int
-lc_burn_history_load (LcBurnCollect *collect, const char *path, LcError *error)
+lc_burn_history_load (LcBurnCollect *collector, const char *path, LcError *error)
 {
   gchar *text = NULL;
   gchar **lines;
@@ -51,7 +51,7 @@
     {
       json_t *line = lines[i][0] != '\0' ? json_loads (lines[i], 0, NULL) : NULL;
 
-      if (lines[i][0] != '\0' && !lc_burn_history__take (collect, line))
+      if (lines[i][0] != '\0' && !lc_burn_history__take (collector, line))
         r = lc_error_set (error, LC_ERR_CORRUPT, "move the file away; a new one is begun",
                           "%s: line %u is no sample", path, i + 1);
       json_decref (line);
@@ -100,14 +100,15 @@
 }
 
 int
-lc_burn_history_save (const LcBurnCollect *collect, const char *path, LcError *error)
+lc_burn_history_save (const LcBurnCollect *collector, const char *path, LcError *error)
 {
-  LcBurnSave save = { .text = g_string_new (NULL), .oldest_us = collect->now_us - LC_BURN_KEEP_US };
+  LcBurnSave save = { .text = g_string_new (NULL),
+                      .oldest_us = collector->now_us - LC_BURN_KEEP_US };
   GError *gerror = NULL;
   int r = 0;
 
-  lc_burn_merge_each (collect->merge, lc_burn_history__append, &save);
-  /* Writes a new file beside it, syncs it and renames it over the old one. */
+  lc_burn_merge_each (collector->merge, lc_burn_history__append, &save);
+  /* Writes a temporary file, syncs it and renames it over the old one. */
   if (!g_file_set_contents_full (path, save.text->str, (gssize)save.text->len,
                                  G_FILE_SET_CONTENTS_CONSISTENT | G_FILE_SET_CONTENTS_DURABLE, 0644,
                                  &gerror))
--- a/src/cli/lc-burn-html.c
+++ b/src/cli/lc-burn-html.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <time.h>
 
-/* === the page's frame ======================================================================= */
+/* === page style ============================================================================= */
 
 static const char LC_BURN_STYLE[] =
     ":root{color-scheme:light dark;--ink:#1c2430;--soft:#66707f;--line:#d9dee6;--bg:#fff;"
@@ -42,7 +42,7 @@
   LC_BURN_PLOT_TOP = 10,
 };
 
-/* Two lines over the same time; the second may be absent. */
+/* One or two curves over the same time. */
 typedef struct
 {
   const char *title;
@@ -140,7 +140,7 @@
   g_string_append (out, "</svg>");
 }
 
-/* === what is plotted ======================================================================== */
+/* === plotted values ========================================================================= */
 
 typedef enum
 {
@@ -162,12 +162,12 @@
 lc_burn__fill_step (LcBurnPlot *plot,
                     LcBurnPlotKind kind,
                     int step,
-                    const LcBurnCollect *collect,
+                    const LcBurnCollect *collector,
                     const LcBurnServiceRow *row)
 {
   int64_t step_us = plot->length_us / LC_BURN_STEPS;
-  int64_t at_us = collect->now_us - (LC_BURN_STEPS - 1 - step) * step_us;
-  LcBurnWindow w = lc_burn_merge_window (collect->merge, row->name, NULL, at_us, step_us);
+  int64_t at_us = collector->now_us - (LC_BURN_STEPS - 1 - step) * step_us;
+  LcBurnWindow w = lc_burn_merge_window (collector->merge, row->name, NULL, at_us, step_us);
   const double *n = w.growth;
   double bad = n[LC_BURN_LATE] + n[LC_BURN_REFUSED] + n[LC_BURN_UNKNOWN] + n[LC_BURN_FAILED];
   double bad_flows = n[LC_BURN_FLOW_BROKEN] + n[LC_BURN_FLOW_REFUSED];
@@ -186,23 +186,23 @@
       break;
     case LC_BURN_PLOT_IMBALANCE:
       plot->values[0][step] =
-          lc_burn_merge_imbalance (collect->merge, row->name, NULL, at_us, step_us, step_us).mean;
+          lc_burn_merge_imbalance (collector->merge, row->name, NULL, at_us, step_us, step_us).mean;
       break;
     }
 }
 
-/* An hour, or as much as there is: a demo of a minute should not look like a flat line. */
+/* An hour, halved while its older half is empty: a demo of a minute would look like a flat line. */
 static int64_t
-lc_burn__plot_length (const LcBurnCollect *collect, const LcBurnServiceRow *row)
+lc_burn__plot_length (const LcBurnCollect *collector, const LcBurnServiceRow *row)
 {
   int64_t length_us = 3600 * LC_US_PER_S;
 
   while (length_us > 2 * 60 * LC_US_PER_S)
     {
       LcBurnWindow all =
-          lc_burn_merge_window (collect->merge, row->name, NULL, collect->now_us, length_us);
-      LcBurnWindow half =
-          lc_burn_merge_window (collect->merge, row->name, NULL, collect->now_us, length_us / 2);
+          lc_burn_merge_window (collector->merge, row->name, NULL, collector->now_us, length_us);
+      LcBurnWindow half = lc_burn_merge_window (collector->merge, row->name, NULL,
+                                                collector->now_us, length_us / 2);
 
       if (half.growth[LC_BURN_GOOD] < all.growth[LC_BURN_GOOD] ||
           half.growth[LC_BURN_FLOW_OPENED] < all.growth[LC_BURN_FLOW_OPENED])
@@ -213,20 +213,20 @@
 }
 
 static void
-lc_burn__append_plots (GString *out, const LcBurnCollect *collect, const LcBurnServiceRow *row)
+lc_burn__append_plots (GString *out, const LcBurnCollect *collector, const LcBurnServiceRow *row)
 {
   LcBurnPlot plots[] = {
     { .title = "Requests a second", .names = { "good", "bad" } },
     { .title = "Burn rate", .names = { "requests", "flows" }, .limit = 1 },
     { .title = "Open flows: highest over mean", .names = { "imbalance", NULL }, .limit = 1 },
   };
-  int64_t length_us = lc_burn__plot_length (collect, row);
+  int64_t length_us = lc_burn__plot_length (collector, row);
 
   for (size_t kind = 0; kind < G_N_ELEMENTS (plots); kind++)
     {
       plots[kind].length_us = length_us;
       for (int step = 0; step < LC_BURN_STEPS; step++)
-        lc_burn__fill_step (&plots[kind], (LcBurnPlotKind)kind, step, collect, row);
+        lc_burn__fill_step (&plots[kind], (LcBurnPlotKind)kind, step, collector, row);
       lc_burn__append_plot (out, &plots[kind]);
     }
 }
@@ -272,7 +272,7 @@
 }
 
 static void
-lc_burn__append_service (GString *out, const LcBurnCollect *collect, const LcBurnServiceRow *row)
+lc_burn__append_service (GString *out, const LcBurnCollect *collector, const LcBurnServiceRow *row)
 {
   LcBurnReport report;
   uint32_t good = row->objective.good_ppm != 0 ? row->objective.good_ppm : LC_BURN_DEFAULT_GOOD_PPM;
@@ -282,30 +282,30 @@
   g_string_append_printf (out, " <span class='soft'>objective %.4g%% good</span></h2>", good / 1e4);
   g_string_append (out, "<table><tr><th>where</th><th></th><th>5m</th><th>1h</th><th>30m</th>"
                         "<th>6h</th><th>3d</th><th>budget left</th><th>state</th></tr>");
-  lc_burn_report_compute (&report, collect->merge, &row->objective, NULL, collect->now_us);
+  lc_burn_report_compute (&report, collector->merge, &row->objective, NULL, collector->now_us);
   lc_burn__append_row (out, &report, "all", false);
   lc_burn__append_row (out, &report, "all", true);
-  for (guint i = 0; i < collect->data_centres->len; i++)
+  for (guint i = 0; i < collector->data_centres->len; i++)
     {
-      const char *name = g_ptr_array_index (collect->data_centres, i);
+      const char *name = g_ptr_array_index (collector->data_centres, i);
       LcBurnReport part;
 
-      lc_burn_report_compute (&part, collect->merge, &row->objective, name, collect->now_us);
+      lc_burn_report_compute (&part, collector->merge, &row->objective, name, collector->now_us);
       lc_burn__append_row (out, &part, name, false);
       lc_burn__append_row (out, &part, name, true);
     }
   g_string_append (out, "</table>");
   lc_burn__append_counts (out, &report);
-  lc_burn__append_plots (out, collect, row);
+  lc_burn__append_plots (out, collector, row);
 }
 
 char *
-lc_burn_to_html (const LcBurnCollect *collect, const char *service)
+lc_burn_to_html (const LcBurnCollect *collector, const char *service)
 {
   GString *out = g_string_new ("<!doctype html><html lang='en'><meta charset='utf-8'>"
                                "<meta name='viewport' content='width=device-width'>"
                                "<title>Service-level burn</title><style>");
-  time_t second = (time_t)(collect->now_us / LC_US_PER_S);
+  time_t second = (time_t)(collector->now_us / LC_US_PER_S);
   struct tm utc;
   char when[32];
 
@@ -314,20 +314,20 @@
   g_string_append_printf (out,
                           "%s</style><h1>Service-level burn</h1><p>%s; %u of %u processes "
                           "answered.</p>",
-                          LC_BURN_STYLE, when, collect->n_asked - collect->unheard->len,
-                          collect->n_asked);
-  for (guint i = 0; i < collect->unheard->len; i++)
+                          LC_BURN_STYLE, when, collector->n_queried - collector->unanswered->len,
+                          collector->n_queried);
+  for (guint i = 0; i < collector->unanswered->len; i++)
     {
       g_string_append (out, "<p class='page'>Not heard: ");
-      lc_burn__append_text (out, g_ptr_array_index (collect->unheard, i));
+      lc_burn__append_text (out, g_ptr_array_index (collector->unanswered, i));
       g_string_append (out, "</p>");
     }
-  for (guint s = 0; s < collect->services->len; s++)
+  for (guint s = 0; s < collector->services->len; s++)
     {
-      const LcBurnServiceRow *row = &g_array_index (collect->services, LcBurnServiceRow, s);
+      const LcBurnServiceRow *row = &g_array_index (collector->services, LcBurnServiceRow, s);
 
       if (service == NULL || strcmp (row->name, service) == 0)
-        lc_burn__append_service (out, collect, row);
+        lc_burn__append_service (out, collector, row);
     }
   g_string_append (out, "</html>\n");
   return g_string_free (out, FALSE);
--- a/src/cli/lc-burn-output.h
+++ b/src/cli/lc-burn-output.h
@@ -6,13 +6,13 @@
 
 #include <stdio.h>
 
-/* `service` NULL: all. */
-void lc_burn_print_text (const LcBurnCollect *collect, const char *service, FILE *out);
-json_t *lc_burn_to_json (const LcBurnCollect *collect, const char *service);
-/* No script and nothing loaded from elsewhere; plots are inline SVG.  The caller frees it. */
-char *lc_burn_to_html (const LcBurnCollect *collect, const char *service);
+/* `service` NULL selects all. */
+void lc_burn_print_text (const LcBurnCollect *collector, const char *service, FILE *out);
+json_t *lc_burn_to_json (const LcBurnCollect *collector, const char *service);
+/* Without scripts or external resources; plots are inline SVG.  The caller frees it. */
+char *lc_burn_to_html (const LcBurnCollect *collector, const char *service);
 
-/* Whether any service burns at an urgency of at least `urgency`. */
-bool lc_burn_any_at (const LcBurnCollect *collect, const char *service, LcBurnUrgency urgency);
+/* Whether any service has at least this urgency. */
+bool lc_burn_any_at (const LcBurnCollect *collector, const char *service, LcBurnUrgency urgency);
 
 #endif /* LC_BURN_OUTPUT_H */
--- a/src/cli/lc-burn-text.c
+++ b/src/cli/lc-burn-text.c
@@ -5,7 +5,7 @@
 
 enum
 {
-  LC_BURN_SHOWN = 5, /* 5m 1h 30m 6h 3d: the second 6h is the same window */
+  LC_BURN_SHOWN = 5, /* 5m 1h 30m 6h 3d; the second 6h repeats the first */
 };
 
 static const int LC_BURN_SHOWN_SPANS[LC_BURN_SHOWN] = { 0, 1, 2, 3, 5 };
@@ -58,7 +58,7 @@
 }
 
 static void
-lc_burn__print_service (const LcBurnCollect *collect, const LcBurnServiceRow *row, FILE *out)
+lc_burn__print_service (const LcBurnCollect *collector, const LcBurnServiceRow *row, FILE *out)
 {
   uint32_t good_ppm =
       row->objective.good_ppm != 0 ? row->objective.good_ppm : (uint32_t)LC_BURN_DEFAULT_GOOD_PPM;
@@ -69,15 +69,15 @@
     (void)fprintf (out, ", whole answers within %u ms", row->objective.latency_ms);
   (void)fprintf (out, "\n  %-16s %-9s%8s%8s%8s%8s%8s%12s  %s\n", "burn rate over", "", "5m", "1h",
                  "30m", "6h", "3d", "budget left", "state");
-  lc_burn_report_compute (&report, collect->merge, &row->objective, NULL, collect->now_us);
+  lc_burn_report_compute (&report, collector->merge, &row->objective, NULL, collector->now_us);
   lc_burn__print_line (&report, "all", false, out);
   lc_burn__print_line (&report, "all", true, out);
-  for (guint i = 0; i < collect->data_centres->len; i++)
+  for (guint i = 0; i < collector->data_centres->len; i++)
     {
-      const char *name = g_ptr_array_index (collect->data_centres, i);
+      const char *name = g_ptr_array_index (collector->data_centres, i);
       LcBurnReport part;
 
-      lc_burn_report_compute (&part, collect->merge, &row->objective, name, collect->now_us);
+      lc_burn_report_compute (&part, collector->merge, &row->objective, name, collector->now_us);
       lc_burn__print_line (&part, name, false, out);
       lc_burn__print_line (&part, name, true, out);
     }
@@ -91,35 +91,36 @@
 }
 
 void
-lc_burn_print_text (const LcBurnCollect *collect, const char *service, FILE *out)
+lc_burn_print_text (const LcBurnCollect *collector, const char *service, FILE *out)
 {
   (void)fprintf (out, "service-level burn: %u of %u processes answered\n",
-                 collect->n_asked - collect->unheard->len, collect->n_asked);
-  for (guint i = 0; i < collect->unheard->len; i++)
-    (void)fprintf (out, "  not heard: %s\n", (const char *)g_ptr_array_index (collect->unheard, i));
-  if (collect->n_malformed > 0)
+                 collector->n_queried - collector->unanswered->len, collector->n_queried);
+  for (guint i = 0; i < collector->unanswered->len; i++)
+    (void)fprintf (out, "  not heard: %s\n",
+                   (const char *)g_ptr_array_index (collector->unanswered, i));
+  if (collector->n_malformed > 0)
     (void)fprintf (out, "  %u answers were malformed: run one version everywhere\n",
-                   collect->n_malformed);
-  for (guint s = 0; s < collect->services->len; s++)
+                   collector->n_malformed);
+  for (guint s = 0; s < collector->services->len; s++)
     {
-      const LcBurnServiceRow *row = &g_array_index (collect->services, LcBurnServiceRow, s);
+      const LcBurnServiceRow *row = &g_array_index (collector->services, LcBurnServiceRow, s);
 
       if (lc_burn__is_wanted (row, service))
-        lc_burn__print_service (collect, row, out);
+        lc_burn__print_service (collector, row, out);
     }
 }
 
 bool
-lc_burn_any_at (const LcBurnCollect *collect, const char *service, LcBurnUrgency urgency)
+lc_burn_any_at (const LcBurnCollect *collector, const char *service, LcBurnUrgency urgency)
 {
-  for (guint s = 0; s < collect->services->len; s++)
+  for (guint s = 0; s < collector->services->len; s++)
     {
-      const LcBurnServiceRow *row = &g_array_index (collect->services, LcBurnServiceRow, s);
+      const LcBurnServiceRow *row = &g_array_index (collector->services, LcBurnServiceRow, s);
       LcBurnReport report;
 
       if (!lc_burn__is_wanted (row, service))
         continue;
-      lc_burn_report_compute (&report, collect->merge, &row->objective, NULL, collect->now_us);
+      lc_burn_report_compute (&report, collector->merge, &row->objective, NULL, collector->now_us);
       if (report.request_urgency >= urgency || report.flow_urgency >= urgency)
         return true;
     }
@@ -142,14 +143,15 @@
 }
 
 static json_t *
-lc_burn__report_json (const LcBurnCollect *collect,
+lc_burn__report_json (const LcBurnCollect *collector,
                       const LcBurnServiceRow *row,
                       const char *data_centre)
 {
   LcBurnReport report;
   json_t *spans = json_array ();
 
-  lc_burn_report_compute (&report, collect->merge, &row->objective, data_centre, collect->now_us);
+  lc_burn_report_compute (&report, collector->merge, &row->objective, data_centre,
+                          collector->now_us);
   for (int i = 0; i < LC_BURN_SHOWN; i++)
     (void)json_array_append_new (spans, lc_burn__span_json (&report.spans[LC_BURN_SHOWN_SPANS[i]]));
   return json_pack ("{s:s,s:s?,s:s,s:s,s:f,s:f,s:f,s:f,s:o}", "service", row->name, "data_centre",
@@ -161,25 +163,26 @@
 }
 
 json_t *
-lc_burn_to_json (const LcBurnCollect *collect, const char *service)
+lc_burn_to_json (const LcBurnCollect *collector, const char *service)
 {
   json_t *reports = json_array ();
-  json_t *unheard = json_array ();
+  json_t *unanswered = json_array ();
 
-  for (guint s = 0; s < collect->services->len; s++)
+  for (guint s = 0; s < collector->services->len; s++)
     {
-      const LcBurnServiceRow *row = &g_array_index (collect->services, LcBurnServiceRow, s);
+      const LcBurnServiceRow *row = &g_array_index (collector->services, LcBurnServiceRow, s);
 
       if (!lc_burn__is_wanted (row, service))
         continue;
-      (void)json_array_append_new (reports, lc_burn__report_json (collect, row, NULL));
-      for (guint i = 0; i < collect->data_centres->len; i++)
+      (void)json_array_append_new (reports, lc_burn__report_json (collector, row, NULL));
+      for (guint i = 0; i < collector->data_centres->len; i++)
         (void)json_array_append_new (
             reports,
-            lc_burn__report_json (collect, row, g_ptr_array_index (collect->data_centres, i)));
+            lc_burn__report_json (collector, row, g_ptr_array_index (collector->data_centres, i)));
     }
-  for (guint i = 0; i < collect->unheard->len; i++)
-    (void)json_array_append_new (unheard, json_string (g_ptr_array_index (collect->unheard, i)));
-  return json_pack ("{s:i,s:i,s:o,s:o}", "asked", (int)collect->n_asked, "malformed",
-                    (int)collect->n_malformed, "unheard", unheard, "reports", reports);
+  for (guint i = 0; i < collector->unanswered->len; i++)
+    (void)json_array_append_new (unanswered,
+                                 json_string (g_ptr_array_index (collector->unanswered, i)));
+  return json_pack ("{s:i,s:i,s:o,s:o}", "asked", (int)collector->n_queried, "malformed",
+                    (int)collector->n_malformed, "unheard", unanswered, "reports", reports);
 }
--- a/tests/platform/prop-burn.cc
+++ b/tests/platform/prop-burn.cc
@@ -1,4 +1,4 @@
-// Merging of counters: exact over restarts, never negative, nothing twice, whatever the order.
+// Guards against merged counts that are inexact, negative or doubled after restarts, in any order.
 #include "core/burn/lc-burn-merge.h"
 #include "core/burn/lc-burn-ring.h"
 #include "core/lc-error.h"
@@ -22,7 +22,7 @@
   LcBurnSample sample;
 };
 
-struct Life
+struct Run
 {
   uint64_t instance;
   int64_t start_us;
@@ -30,16 +30,16 @@
   std::vector<LcBurnSample> samples;
 };
 
-// One start of a process: events at random times, samples at random times and at its end.
-Life
-makeLife (uint64_t instance, int64_t start, int64_t end)
+// One run of a process: events at random times, samples at random times and at its end.
+Run
+makeRun (uint64_t instance, int64_t start, int64_t end)
 {
-  Life life{ instance, start, {}, {} };
+  Run run{ instance, start, {}, {} };
   auto n = *rc::gen::inRange (0, 30);
   for (int i = 0; i < n; i++)
-    life.events.emplace_back (*rc::gen::inRange (start, end),
-                              *rc::gen::inRange<int> (0, LC_N_BURN_COUNTERS));
-  std::sort (life.events.begin (), life.events.end ());
+    run.events.emplace_back (*rc::gen::inRange (start, end),
+                             *rc::gen::inRange<int> (0, LC_N_BURN_COUNTERS));
+  std::sort (run.events.begin (), run.events.end ());
   auto times = *rc::gen::container<std::vector<int64_t> > (rc::gen::inRange (start, end));
   times.push_back (end);
   std::sort (times.begin (), times.end ());
@@ -48,33 +48,33 @@
     {
       LcBurnSample sample = {};
       sample.uptime_us = t - start;
-      for (const auto &event : life.events)
+      for (const auto &event : run.events)
         if (event.first < t)
           sample.counts.values[event.second]++;
-      life.samples.push_back (sample);
+      run.samples.push_back (sample);
     }
-  return life;
+  return run;
 }
 
-// A process that restarts a few times; each life has an instance number of its own.
-std::vector<Life>
+// A process that restarts a few times; each run has its own instance number.
+std::vector<Run>
 makeProcess (uint64_t id)
 {
-  std::vector<Life> lives;
+  std::vector<Run> runs;
   int64_t at = *rc::gen::inRange<int64_t> (0, kEnd / 4);
   auto n = *rc::gen::inRange (1, 5);
   for (int i = 0; i < n && at + 2 < kEnd; i++)
     {
       auto end = *rc::gen::inRange<int64_t> (at + 1, kEnd);
-      lives.push_back (makeLife (id * 100 + (uint64_t)i, at, end));
+      runs.push_back (makeRun (id * 100 + (uint64_t)i, at, end));
       at = *rc::gen::inRange<int64_t> (end, kEnd);
     }
-  return lives;
+  return runs;
 }
 
 struct World
 {
-  std::vector<Life> lives;
+  std::vector<Run> runs;
   std::vector<Report> reports;
 };
 
@@ -84,17 +84,17 @@
   World world;
   auto n = *rc::gen::inRange<uint64_t> (1, 4);
   for (uint64_t id = 1; id <= n; id++)
-    for (auto &life : makeProcess (id))
-      world.lives.push_back (life);
-  for (const auto &life : world.lives)
+    for (auto &run : makeProcess (id))
+      world.runs.push_back (run);
+  for (const auto &run : world.runs)
     {
-      LcBurnKey key = { life.instance, "vm", "ledger", "portmore", 0 };
-      // The report's own time may be any; what counts is where it puts the start.
-      for (const auto &sample : life.samples)
+      LcBurnKey key = { run.instance, "vm", "ledger", "portmore", 0 };
+      // A report may be sent at any time; only the start that it implies counts.
+      for (const auto &sample : run.samples)
         for (int copies = *rc::gen::inRange (1, 3); copies > 0; copies--)
           {
             int64_t uptime = *rc::gen::inRange<int64_t> (0, kEnd);
-            world.reports.push_back ({ key, life.start_us + uptime, uptime, sample });
+            world.reports.push_back ({ key, run.start_us + uptime, uptime, sample });
           }
     }
   auto seed = *rc::gen::arbitrary<uint32_t> ();
@@ -132,8 +132,8 @@
     for (int i = 0; i < LC_N_BURN_COUNTERS; i++)
       {
         uint64_t events = 0;
-        for (const auto &life : world.lives)
-          for (const auto &event : life.events)
+        for (const auto &run : world.runs)
+          for (const auto &event : run.events)
             events += event.second == i;
         RC_ASSERT (all.growth[i] == (double)events);
       }
@@ -186,14 +186,14 @@
     int64_t taken = -1;
     ring = {};
     auto ticks = *rc::gen::inRange (1, 2000);
-    auto most = *rc::gen::inRange<int64_t> (1, 5000);
+    auto maxStep = *rc::gen::inRange<int64_t> (1, 5000);
     for (int i = 0; i < ticks; i++)
       {
         if (uptime >= ring.levels[0].due_us)
           taken = uptime;
         lc_burn_ring_tick (&ring, uptime, &counts);
         counts.values[LC_BURN_GOOD] += (uint64_t)i;
-        uptime += (i * 7919 % most) * LC_US_PER_S / 10;
+        uptime += (i * 7919 % maxStep) * LC_US_PER_S / 10;
       }
     size_t n = lc_burn_ring_read (&ring, samples, LC_BURN_RING_SAMPLES);
     RC_ASSERT (n >= 1U);
--- a/tests/platform/test-burn.c
+++ b/tests/platform/test-burn.c
@@ -1,4 +1,4 @@
-/* Burn rates, urgency, budget and imbalance, as tables. */
+/* Guards against wrong burn rates, urgencies, budgets and imbalances. */
 #include "core/burn/lc-burn-report.h"
 #include "core/burn/lc-burn-ring.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -11,7 +11,7 @@
 #define MINUTE_US (60 * LC_US_PER_S)
 #define DAY_US (24 * HOUR_US)
 
-/* A process that began three days before now, with even traffic: counts at times before now. */
+/* Counts at an age before now, of a process that started three days ago. */
 typedef struct
 {
   int64_t age_us;
@@ -20,7 +20,7 @@
 } Point;
 
 static LcBurnMerge *
-merge_of (const Point *points, size_t n, LcBurnCounter bad)
+make_merge (const Point *points, size_t n, LcBurnCounter bad)
 {
   LcBurnMerge *merge = lc_burn_merge_new ();
   LcBurnKey key = { 1, "lb-1", "order-desk", "hall-atl", 0 };
@@ -36,7 +36,7 @@
   return merge;
 }
 
-/* The objective allows 1 in 1 000.  Rates are of the spans 5m 1h 30m 6h 6h 3d. */
+/* The objective allows 1 bad in 1 000.  Rates are over 5m 1h 30m 6h 6h 3d. */
 static const struct
 {
   const char *name;
@@ -46,7 +46,7 @@
   LcBurnUrgency urgency;
   double budget_left;
 } RATES[] = {
-  { "nothing asked", { { 0, 0, 0 } }, 1, { 0 }, LC_BURN_QUIET, 1.0 },
+  { "no requests", { { 0, 0, 0 } }, 1, { 0 }, LC_BURN_QUIET, 1.0 },
   { "all good", { { 0, 1000000, 0 } }, 1, { 0 }, LC_BURN_QUIET, 1.0 },
   { "on the budget",
     { { 3 * DAY_US, 0, 0 }, { 0, 999000, 1000 } },
@@ -79,7 +79,7 @@
 
 START_TEST (test_rates)
 {
-  LcBurnMerge *merge = merge_of (RATES[_i].points, RATES[_i].n, LC_BURN_FAILED);
+  LcBurnMerge *merge = make_merge (RATES[_i].points, RATES[_i].n, LC_BURN_FAILED);
   LcBurnObjective objective = { .service = "order-desk", .good_ppm = 999000 };
   LcBurnReport report;
 
@@ -101,10 +101,10 @@
 static const LcBurnCounter BAD[] = { LC_BURN_LATE, LC_BURN_REFUSED, LC_BURN_UNKNOWN,
                                      LC_BURN_FAILED };
 
-START_TEST (test_each_bad_kind_counts)
+START_TEST (test_each_bad_outcome_counts)
 {
   static const Point POINTS[] = { { MINUTE_US, 0, 0 }, { 0, 50, 50 } };
-  LcBurnMerge *merge = merge_of (POINTS, 2, BAD[_i]);
+  LcBurnMerge *merge = make_merge (POINTS, 2, BAD[_i]);
   LcBurnWindow w = lc_burn_merge_window (merge, "order-desk", "hall-atl", 3 * DAY_US, HOUR_US);
   LcBurnObjective objective = { .service = "order-desk" };
   LcBurnReport report;
@@ -118,23 +118,23 @@
 }
 END_TEST
 
-/* Coverage: a process older than its samples knows less than the window asks for. */
+/* A process older than its samples covers only part of the window. */
 START_TEST (test_coverage)
 {
   static const Point POINTS[] = { { MINUTE_US, 100, 0 }, { 0, 160, 0 } };
-  LcBurnMerge *merge = merge_of (POINTS, 2, LC_BURN_FAILED);
+  LcBurnMerge *merge = make_merge (POINTS, 2, LC_BURN_FAILED);
   LcBurnWindow hour = lc_burn_merge_window (merge, NULL, NULL, 3 * DAY_US, HOUR_US);
   LcBurnWindow all = lc_burn_merge_window (merge, NULL, NULL, 3 * DAY_US, 4 * DAY_US);
 
   ck_assert_int_eq (hour.covered_us, MINUTE_US);
   ck_assert (hour.growth[LC_BURN_GOOD] == 60.0);
-  ck_assert_int_eq (all.covered_us, 4 * DAY_US); /* began inside: counted from zero */
+  ck_assert_int_eq (all.covered_us, 4 * DAY_US); /* started inside: counted from zero */
   ck_assert (all.growth[LC_BURN_GOOD] == 160.0);
   lc_burn_merge_free (merge);
 }
 END_TEST
 
-/* Flows that three endpoints hold, with their weights, and highest over mean. */
+/* Open flows and weights of three endpoints, and the highest load over the mean. */
 static const struct
 {
   uint64_t open[3];
@@ -168,7 +168,7 @@
 }
 END_TEST
 
-/* Flows of one endpoint over an hour: what was open before, what happened, and the burn rate. */
+/* Flows of one endpoint: open before the hour, events within it, and the burn rate. */
 static const struct
 {
   uint64_t before;
@@ -203,7 +203,7 @@
 }
 END_TEST
 
-START_TEST (test_ring_reaches_back)
+START_TEST (test_ring_covers_three_days)
 {
   static LcBurnRing ring;
   LcBurnSample samples[LC_BURN_RING_SAMPLES];
@@ -229,11 +229,11 @@
   TCase *tcase = tcase_create ("tables");
 
   tcase_add_loop_test (tcase, test_rates, 0, sizeof RATES / sizeof RATES[0]);
-  tcase_add_loop_test (tcase, test_each_bad_kind_counts, 0, sizeof BAD / sizeof BAD[0]);
+  tcase_add_loop_test (tcase, test_each_bad_outcome_counts, 0, sizeof BAD / sizeof BAD[0]);
   tcase_add_test (tcase, test_coverage);
   tcase_add_loop_test (tcase, test_imbalance, 0, sizeof IMBALANCES / sizeof IMBALANCES[0]);
   tcase_add_loop_test (tcase, test_flow_rate, 0, sizeof FLOWS / sizeof FLOWS[0]);
-  tcase_add_test (tcase, test_ring_reaches_back);
+  tcase_add_test (tcase, test_ring_covers_three_days);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
--- a/tests/platform/test_burn.py
+++ b/tests/platform/test_burn.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""`lychee burn` against stand-ins of control and of processes, each on an address of its own.
+"""Tests `lychee burn` against fake control and processes, each on its own address.
 
 Usage: test_burn.py PATH_OF_LYCHEE
 """
@@ -19,8 +19,8 @@
 SECOND = 1_000_000
 
 
-class Answers(http.server.ThreadingHTTPServer):
-    """Answers each path of `pages` with JSON (or raw bytes) on one address."""
+class FakeServer(http.server.ThreadingHTTPServer):
+    """Serves each path of `pages` as JSON (or raw bytes) on one address."""
 
     daemon_threads = True
 
@@ -56,29 +56,29 @@
 
 
 class Site:
-    """Control and processes; `processes` maps a name to its answer, None for one that is down."""
+    """Fake control and processes; `processes` maps a name to its answer, None if it is down."""
 
     def __init__(self, processes):
         block = f"127.{random.randint(40, 250)}.{random.randint(0, 255)}"
         self.servers = []
-        first = Answers(f"{block}.1", {})
+        first = FakeServer(f"{block}.1", {})
         self.port = first.server_address[1]  # all processes share one admin port
         first.shutdown()
         first.server_close()
-        nodes = []
-        self.nodes = {}
+        listed = []
+        self.fakes = {}
         for i, (name, answer) in enumerate(processes.items()):
             address = f"{block}.{i + 10}"
-            nodes.append({"name": name, "address": f"{address}:7000"})
+            listed.append({"name": name, "address": f"{address}:7000"})
             if answer is not None:
-                self.nodes[name] = Answers(address, {"port": self.port, "/v1/burn": answer})
-                self.servers.append(self.nodes[name])
+                self.fakes[name] = FakeServer(address, {"port": self.port, "/v1/burn": answer})
+                self.servers.append(self.fakes[name])
         status = {
             "data_centres": [{"name": "hall-atl"}, {"name": "hall-bhm"}],
             "services": [{"name": "order-desk", "objective_ppm": 999000, "objective_latency_ms": 500}],
-            "balancers": nodes, "endpoints": [],
+            "balancers": listed, "endpoints": [],
         }
-        control = Answers(f"{block}.2", {"/v1/status": status})
+        control = FakeServer(f"{block}.2", {"/v1/status": status})
         self.servers.append(control)
         self.control = "%s:%d" % control.server_address
 
@@ -105,7 +105,7 @@
 
 
 class Burn(unittest.TestCase):
-    def test_adds_up_over_processes_and_data_centres(self):
+    def test_sums_over_processes_and_data_centres(self):
         with Site({
             "lb-1": history("lb-1", "hall-atl", [sample(0), sample(600, good=700, failed=7)], 1),
             "lb-2": history("lb-2", "hall-bhm", [sample(0), sample(600, good=300)], 2),
@@ -122,8 +122,8 @@
                 site.report(None, "--history", kept)
                 _, again = site.report(None, "--history", kept)
                 self.assertEqual(again["by_window"]["1h"]["counts"]["good"], 500)
-                # The same VM's process has started again: new instance, counts from zero.
-                site.nodes["lb-1"].pages["/v1/burn"] = history(
+                # The process has restarted: new instance, counts from zero.
+                site.fakes["lb-1"].pages["/v1/burn"] = history(
                     "lb-1", "hall-atl", [sample(0), sample(5, good=20)], 9, uptime_s=5)
                 _, after = site.report(None, "--history", kept)
                 self.assertEqual(after["by_window"]["1h"]["counts"]["good"], 520)
@@ -146,7 +146,7 @@
             self.assertEqual(whole["flows"], "quiet")
             self.assertAlmostEqual(whole["imbalance_mean"], 1.5, places=2)
 
-    def test_unheard_and_malformed_are_said(self):
+    def test_unanswered_and_malformed_are_reported(self):
         bad = [b"not JSON", {"instance": 5}, {"instance": "1", "process": "x", "data_centre": "y", "counters": []},
                history("x", "hall-atl", [["a"]]), history("x", "hall-atl", [[1, -1] + [0] * 8])]
         processes = {f"bad-{i}": answer for i, answer in enumerate(bad)}
@@ -181,7 +181,7 @@
             self.assertEqual(open_tags, [])
             self.assertEqual(text.count("<svg"), 3)
 
-    def test_wrong_use(self):
+    def test_wrong_arguments(self):
         with Site({}) as site:
             cases = [(["--service", "no-such"], 1, "lychee status"), (["--history", "/nonexistent/h"], 1, "--history"),
                      (["--html", "/nonexistent/h"], 1, "--html"), (["--no-such"], 2, "")]
@@ -191,7 +191,7 @@
                     self.assertEqual(result.returncode, code, result.stderr)
                     self.assertIn(text, result.stderr)
 
-    def test_history_that_is_no_history(self):
+    def test_malformed_history_file(self):
         with tempfile.TemporaryDirectory() as folder, Site({}) as site:
             path = os.path.join(folder, "history")
             with open(path, "w", encoding="utf-8") as file:
