--- a/src/cli/lc-explain.c
+++ b/src/cli/lc-explain.c
@@ -148,13 +148,13 @@
   int64_t first_us;
   int64_t last_us;
   uint32_t n_lines;
-  GHashTable *processes; /* "program name" of those that speak of it */
+  GHashTable *processes; /* "program name" of those that logged its lines */
 } LcExplainSpan;
 
-/* What a question is about: lines that name one of `names` in the field that it is for. */
+/* A flow, or a request by all its ids. */
 typedef struct
 {
-  const char *flow;  /* NULL: a request is asked for */
+  const char *flow;  /* NULL: a request */
   GHashTable *names; /* ids of copies and of keys, and callers' keys */
 } LcExplainSubject;
 
@@ -202,7 +202,7 @@
     }
 }
 
-/* Links that come and go among control VMs are many and decide nothing by themselves. */
+/* Connections between control VMs change often and explain nothing by themselves: left out. */
 static bool
 lc_explain__is_context (const LcExplainLine *line, const LcExplainSpan *span)
 {
@@ -241,7 +241,7 @@
   return span.n_lines;
 }
 
-/* Adds the other ids that lines about the request name: true when there was a new one. */
+/* Adds the other ids on lines about the request; returns whether any was new. */
 static bool
 lc_explain__learn_names (const LcExplainLog *log, const LcExplainSubject *subject)
 {
@@ -284,7 +284,7 @@
   return n;
 }
 
-/* === public: which flows ==================================================================== */
+/* === public: list of flows ================================================================== */
 
 static bool
 lc_explain__fits (const LcExplainLine *line, const LcExplainQuery *query)
@@ -318,29 +318,29 @@
 void
 lc_explain_flows (const LcExplainLog *log, const LcExplainQuery *query, GArray *out)
 {
-  GHashTable *places = g_hash_table_new (g_str_hash, g_str_equal); /* id -> place in out, plus 1 */
+  GHashTable *indexes = g_hash_table_new (g_str_hash, g_str_equal); /* id -> index in out, plus 1 */
 
   for (guint i = 0; i < log->lines->len; i++)
     {
       const LcExplainLine *line = &g_array_index (log->lines, LcExplainLine, i);
       LcExplainFlow *flow;
-      guint place;
+      guint index;
 
       if (!lc_explain__fits (line, query))
         continue;
-      place = GPOINTER_TO_UINT (g_hash_table_lookup (places, line->flow));
-      if (place == 0)
+      index = GPOINTER_TO_UINT (g_hash_table_lookup (indexes, line->flow));
+      if (index == 0)
         {
           LcExplainFlow fresh = { .id = line->flow, .first_us = line->at_us };
 
           g_array_append_val (out, fresh);
-          place = out->len;
-          (void)g_hash_table_insert (places, (gpointer)line->flow, GUINT_TO_POINTER (place));
+          index = out->len;
+          (void)g_hash_table_insert (indexes, (gpointer)line->flow, GUINT_TO_POINTER (index));
         }
-      flow = &g_array_index (out, LcExplainFlow, place - 1);
+      flow = &g_array_index (out, LcExplainFlow, index - 1);
       flow->last_us = line->at_us;
       flow->n_lines++;
       flow->n_bad += lc_explain__is_bad (line) ? 1 : 0;
     }
-  g_hash_table_unref (places);
+  g_hash_table_unref (indexes);
 }
--- a/src/cli/lc-explain.h
+++ b/src/cli/lc-explain.h
@@ -1,11 +1,11 @@
-/* lc-explain: joins the log lines of several processes that speak of one flow.
+/* lc-explain: merges the logs of several processes and selects the lines of one flow or request.
  *
  * WHAT IT IS
- *   Every program writes JSON lines (io/lc-log.h); those about a flow name it in "flow".  Given the
- *   files of several processes, this finds the lines of one flow, and around them what its
- * processes and control believed at the time: starts, stops, views, leaders, agents that did not
- * answer. Without an id it lists the flows of a service address in a span of time, so that an id is
- * found from what a caller can say: when, and where to.
+ *   Every program writes JSON lines (io/lc-log.h); those about a flow have its id in "flow".  From
+ *   the files of several processes this selects the lines of one flow, and the context around them
+ *   from its processes and control: starts, stops, views, leaders, unresponsive agents.  Without
+ *   an id it lists the flows of a service address in a span of time, so that an id is found from
+ *   what a caller can report: when, and to which address.
  *
  * HOW TO USE IT
  *     lc_explain_init (&log);
@@ -19,8 +19,8 @@
  *   Results point into the log.
  *
  * LIMITS
- *   All lines are held in memory.  Text before a line's first brace is skipped (what a collector
- *   puts there); a line that is no JSON object with a time is counted in n_skipped.
+ *   All lines are held in memory.  Text before a line's first brace (a collector's prefix) is
+ *   skipped; a line that is no JSON object with a time is counted in n_skipped.
  */
 #ifndef LC_EXPLAIN_H
 #define LC_EXPLAIN_H
@@ -34,14 +34,14 @@
 
 typedef struct
 {
-  int64_t at_us; /* since 1970, by the clock of the VM that wrote it */
+  int64_t at_us; /* since 1970, by the clock of the VM that logged it */
   json_t *json;  /* owned by the log */
   const char *program;
   const char *name;
   const char *event;
-  const char *flow;    /* NULL: it speaks of no flow */
-  const char *request; /* id of one copy of a request; NULL: it names none */
-  const char *key;     /* id of the key of its copies; NULL: it names none */
+  const char *flow;    /* NULL: not about a flow */
+  const char *request; /* id of one copy of a request; NULL: none */
+  const char *key;     /* id of the key that its copies share; NULL: none */
 } LcExplainLine;
 
 typedef struct
@@ -50,7 +50,7 @@
   uint64_t n_skipped;
 } LcExplainLog;
 
-/* A flow that some line names. */
+/* Summary of the lines of one flow. */
 typedef struct
 {
   const char *id;
@@ -62,9 +62,9 @@
 
 typedef struct
 {
-  const char *service; /* "A:P" that the caller sent to; NULL: any */
+  const char *service; /* destination "A:P"; NULL: any */
   const char *caller;  /* "A" or "A:P"; NULL: any */
-  const char *vm;      /* name of the process that wrote a line of it; NULL: any */
+  const char *vm;      /* name of a process that logged a line of it; NULL: any */
   int64_t since_us;
   int64_t until_us; /* 0: no end */
 } LcExplainQuery;
@@ -78,24 +78,24 @@
                           void *user,
                           LcError *error);
 int lc_explain_read (LcExplainLog *log, const char *path, LcError *error);
-/* By time; lines of equal times stay in the order of the files. */
+/* Stable, by time. */
 void lc_explain_sort (LcExplainLog *log);
-/* The lines of the flow, and of what its processes and control said of themselves from `around_us`
- * before the first to as long after the last; into `out` (const LcExplainLine *).  Returns how many
- * lines name the flow. */
+/* Appends the lines of the flow, and the context that its processes and control logged from
+ * `around_us` before the first to as long after the last, to `out` (const LcExplainLine *).
+ * Returns the number of lines of the flow. */
 uint32_t
 lc_explain_flow (const LcExplainLog *log, const char *id, int64_t around_us, GPtrArray *out);
-/* The same of a request: `id` is a Lychee-Request-Id, the id of one copy, or a caller's
+/* The same for a request: `id` is a Lychee-Request-Id, the id of one copy, or a caller's
  * Idempotency-Key.  All copies under one key are one request. */
 uint32_t
 lc_explain_request (const LcExplainLog *log, const char *id, int64_t around_us, GPtrArray *out);
-/* Flows that fit, by their first lines' time; into `out` (LcExplainFlow). */
+/* Appends the matching flows, by their first lines' time, to `out` (LcExplainFlow). */
 void lc_explain_flows (const LcExplainLog *log, const LcExplainQuery *query, GArray *out);
-/* "2026-08-05T13:02:53.138022Z", or seconds since 1970; negative: neither. */
+/* Parses "2026-08-05T13:02:53.138022Z" or seconds since 1970; negative if it is neither. */
 int64_t lc_explain_time (const char *text);
 /* The time of day, "13:02:53.138"; to be freed. */
 char *lc_explain_clock (int64_t at_us);
-/* A field of a line; "" when it is no text or not there. */
+/* A field of a line; "" if it is missing or no string. */
 const char *lc_explain_text (const json_t *json, const char *key);
 
 #endif /* LC_EXPLAIN_H */
--- a/src/cli/lc-spread-write.c
+++ b/src/cli/lc-spread-write.c
@@ -24,9 +24,9 @@
     {
       const LcSpreadTimes *t = &change->times[role];
 
-      lc_spread__put_ms (out, t->middle_us);
+      lc_spread__put_ms (out, t->median_us);
       lc_spread__put_ms (out, t->last_us);
-      g_string_append_printf (out, " %5u %5u %5u ", t->n_reached, t->n_apart, t->n_missing);
+      g_string_append_printf (out, " %5u %5u %5u ", t->n_reached, t->n_excluded, t->n_missing);
     }
   g_string_append_c (out, '\n');
   g_free (clock);
@@ -38,7 +38,7 @@
   g_string_append_printf (out, "%-20s %6u", kind->what, kind->n);
   for (int role = 0; role < LC_SPREAD_N_ROLES; role++)
     {
-      lc_spread__put_ms (out, kind->middle_us[role]);
+      lc_spread__put_ms (out, kind->median_us[role]);
       lc_spread__put_ms (out, kind->worst_us[role]);
     }
   g_string_append_c (out, '\n');
@@ -47,11 +47,11 @@
 static void
 lc_spread__put_bad (const LcSpread *s, GString *out)
 {
-  for (guint i = 0; i < s->bad->len; i++)
-    g_string_append_printf (out, "skipped %s\n", (const char *)g_ptr_array_index (s->bad, i));
-  if (s->n_bad > s->bad->len)
+  for (guint i = 0; i < s->skipped->len; i++)
+    g_string_append_printf (out, "skipped %s\n", (const char *)g_ptr_array_index (s->skipped, i));
+  if (s->n_skipped > s->skipped->len)
     g_string_append_printf (out, "skipped %" G_GUINT64_FORMAT " more lines\n",
-                            (guint64)(s->n_bad - s->bad->len));
+                            (guint64)(s->n_skipped - s->skipped->len));
   if (s->n_left_out > 0)
     g_string_append_printf (out,
                             "left out %" G_GUINT64_FORMAT
@@ -64,9 +64,9 @@
 static json_t *
 lc_spread__role_json (const LcSpreadTimes *t)
 {
-  return json_pack ("{s:I, s:I, s:i, s:i, s:i}", "middle_us", (json_int_t)t->middle_us, "last_us",
-                    (json_int_t)t->last_us, "reached", (int)t->n_reached, "apart", (int)t->n_apart,
-                    "missing", (int)t->n_missing);
+  return json_pack ("{s:I, s:I, s:i, s:i, s:i}", "middle_us", (json_int_t)t->median_us, "last_us",
+                    (json_int_t)t->last_us, "reached", (int)t->n_reached, "apart",
+                    (int)t->n_excluded, "missing", (int)t->n_missing);
 }
 
 static json_t *
@@ -196,12 +196,12 @@
   for (guint i = 0; i < s->changes->len; i++)
     (void)json_array_append_new (
         changes, lc_spread__change_json (&g_array_index (s->changes, LcSpreadChange, i)));
-  for (guint i = 0; i < s->bad->len; i++)
-    (void)json_array_append_new (bad, json_string (g_ptr_array_index (s->bad, i)));
-  root =
-      json_pack ("{s:o, s:i, s:I, s:I, s:o, s:I}", "changes", changes, "processes",
-                 (int)g_hash_table_size (s->processes), "lines", (json_int_t)s->n_lines, "skipped",
-                 (json_int_t)s->n_bad, "skipped_first", bad, "left_out", (json_int_t)s->n_left_out);
+  for (guint i = 0; i < s->skipped->len; i++)
+    (void)json_array_append_new (bad, json_string (g_ptr_array_index (s->skipped, i)));
+  root = json_pack ("{s:o, s:i, s:I, s:I, s:o, s:I}", "changes", changes, "processes",
+                    (int)g_hash_table_size (s->processes), "lines", (json_int_t)s->n_lines,
+                    "skipped", (json_int_t)s->n_skipped, "skipped_first", bad, "left_out",
+                    (json_int_t)s->n_left_out);
   text = json_dumps (root, JSON_INDENT (1));
   g_string_append (out, text);
   g_string_append_c (out, '\n');
--- a/src/cli/lc-spread.c
+++ b/src/cli/lc-spread.c
@@ -57,14 +57,14 @@
 
 /* === private: changes ======================================================================= */
 
-/* Several control VMs may tell of one change: the first word of it counts. */
+/* Several control VMs may log one change: the earliest line counts. */
 static void
 lc_spread__add_change (LcSpread *s, const LcSpreadChange *change, const char *key)
 {
-  guint place = GPOINTER_TO_UINT (g_hash_table_lookup (s->seen, key));
+  guint position = GPOINTER_TO_UINT (g_hash_table_lookup (s->index, key));
   LcSpreadChange *known;
 
-  if (place == 0)
+  if (position == 0)
     {
       if (s->changes->len >= LC_SPREAD_CHANGES_MAX)
         {
@@ -72,10 +72,10 @@
           return;
         }
       g_array_append_vals (s->changes, change, 1);
-      (void)g_hash_table_insert (s->seen, g_strdup (key), GUINT_TO_POINTER (s->changes->len));
+      (void)g_hash_table_insert (s->index, g_strdup (key), GUINT_TO_POINTER (s->changes->len));
       return;
     }
-  known = &g_array_index (s->changes, LcSpreadChange, place - 1);
+  known = &g_array_index (s->changes, LcSpreadChange, position - 1);
   if (change->at_us < known->at_us)
     *known = *change;
 }
@@ -116,7 +116,7 @@
     lc_spread__add_change (s, &change, key);
 }
 
-/* === private: lines that say only that a process lives ====================================== */
+/* === private: lines that only show that a process runs ====================================== */
 
 static void
 lc_spread__note_alive (LcSpreadProcess *p, int64_t at_us)
@@ -125,7 +125,7 @@
   p->last_us = MAX (p->last_us, at_us);
 }
 
-/* A header of the line, as lc-log writes it: without escapes, before all fields. */
+/* Reads a header field, which lc-log writes without escapes, before all others. */
 static bool
 lc_spread__header (const char *text, const char *key, char *out, size_t size)
 {
@@ -140,8 +140,7 @@
   return true;
 }
 
-/* Without parsing the whole line, since most lines are of this kind.  Returns whether it has the
- * headers. */
+/* Most lines are of this kind, so the JSON is not parsed.  Returns whether it has the headers. */
 static bool
 lc_spread__take_header (LcSpread *s, const char *text)
 {
@@ -169,8 +168,8 @@
 static void
 lc_spread__bad (LcSpread *s, const char *path, uint64_t number, const char *why)
 {
-  if (s->n_bad++ < LC_SPREAD_BAD_NAMED)
-    g_ptr_array_add (s->bad,
+  if (s->n_skipped++ < LC_SPREAD_BAD_NAMED)
+    g_ptr_array_add (s->skipped,
                      g_strdup_printf ("%s:%" G_GUINT64_FORMAT ": %s", path, (guint64)number, why));
 }
 
@@ -194,7 +193,7 @@
     lc_spread__add_point (s, p, at_us, 0);
 }
 
-/* Whether the line may tell of a view or a change. */
+/* Whether the line may contain a view or a change. */
 static bool
 lc_spread__is_of_interest (const char *text)
 {
@@ -248,8 +247,8 @@
   memset (s, 0, sizeof *s);
   s->processes = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, lc_spread__free_process);
   s->changes = g_array_new (FALSE, FALSE, sizeof (LcSpreadChange));
-  s->seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  s->bad = g_ptr_array_new_with_free_func (g_free);
+  s->index = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  s->skipped = g_ptr_array_new_with_free_func (g_free);
 }
 
 void
@@ -257,8 +256,8 @@
 {
   g_hash_table_unref (s->processes);
   g_array_unref (s->changes);
-  g_hash_table_unref (s->seen);
-  g_ptr_array_unref (s->bad);
+  g_hash_table_unref (s->index);
+  g_ptr_array_unref (s->skipped);
   memset (s, 0, sizeof *s);
 }
 
@@ -297,7 +296,7 @@
   LC_SPREAD_MISSING,
 } LcSpreadReach;
 
-/* The first point at that time or later. */
+/* Index of the first point at or after that time. */
 static guint
 lc_spread__from (const GArray *points, int64_t at_us)
 {
@@ -316,7 +315,7 @@
   return low;
 }
 
-/* When the process had the change.  One whose clock is behind may have had it before it came. */
+/* Finds when the process had the change; by a clock that is behind, that may be before it. */
 static LcSpreadReach
 lc_spread__reach (const LcSpreadProcess *p, const LcSpreadChange *change, int64_t *after_us)
 {
@@ -385,7 +384,7 @@
           g_array_append_val (reached[p->role], after_us);
           break;
         case LC_SPREAD_APART:
-          times[p->role].n_apart++;
+          times[p->role].n_excluded++;
           break;
         case LC_SPREAD_MISSING:
           times[p->role].n_missing++;
@@ -395,7 +394,7 @@
   for (int role = 0; role < LC_SPREAD_N_ROLES; role++)
     {
       times[role].n_reached = reached[role]->len;
-      times[role].middle_us = lc_spread__middle (reached[role]);
+      times[role].median_us = lc_spread__middle (reached[role]);
       times[role].last_us = lc_spread__last (reached[role]);
       g_array_unref (reached[role]);
     }
@@ -413,7 +412,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     g_array_sort (((LcSpreadProcess *)value)->points, lc_spread__compare_points);
   g_array_sort (s->changes, lc_spread__compare_changes);
-  g_hash_table_remove_all (s->seen); /* the places have changed */
+  g_hash_table_remove_all (s->index); /* sorting has changed the indexes */
   for (guint i = 0; i < s->changes->len; i++)
     lc_spread__find_times (s, &g_array_index (s->changes, LcSpreadChange, i));
 }
@@ -464,7 +463,7 @@
     }
   for (int role = 0; role < LC_SPREAD_N_ROLES; role++)
     {
-      kind->middle_us[role] = lc_spread__middle (last[role]);
+      kind->median_us[role] = lc_spread__middle (last[role]);
       kind->worst_us[role] = lc_spread__last (last[role]);
       g_array_unref (last[role]);
     }
--- a/tests/platform/test-explain.c
+++ b/tests/platform/test-explain.c
@@ -1,4 +1,4 @@
-/* From a flow's id to its lines: joined over processes, in time order, with what they believed. */
+/* Guards against lines of a flow or request that are missed, out of order or of another flow. */
 #include "cli/lc-explain.h"
 #include "core/lc-types.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -16,7 +16,7 @@
 #define TWO "10.0.0.70:40001>198.18.0.1:443"
 #define OTHER "10.0.0.7:40002>198.18.0.2:443"
 
-/* Two files, neither in order; the first line of one has a collector's prefix. */
+/* Two files, neither in time order; one line begins with a log collector's prefix. */
 static const char *const FILES[] = {
   "edge-1 | " AT ("10.000100", "lychee-balancer", "lb-1", "flow.steered", OF (ONE))
       AT ("10.900000", "lychee-balancer", "lb-1", "view.applied", "")
@@ -60,7 +60,7 @@
 {
   const char *flow;
   int64_t around_us;
-  uint32_t n_of_flow;
+  uint32_t n_lines;
   const char *events[8]; /* in order; NULL ends */
 } FLOWS[] = {
   { ONE,
@@ -79,8 +79,7 @@
 #define REQUEST(request) ",\"request\":\"" request "\""
 #define KEY(key) ",\"key\":\"" key "\""
 
-/* Two copies of one order through two balancers; the second agent names one copy, a home the key.
- */
+/* Two copies of one order through two balancers; some lines have only the copy's id or the key. */
 static const char ORDERS[] = AT ("10.000000",
                                  "lychee-balancer",
                                  "lb-1",
@@ -93,7 +92,7 @@
             AT ("10.400000", "lychee-agent", "desk-2", "request.started", REQUEST ("0b")) AT (
                 "10.500000", "lychee-balancer", "lb-2", "request.sent", REQUEST ("0c") KEY ("fe"));
 
-/* Whatever of its names a caller knows. */
+/* Each id of the order selects all its lines. */
 static const struct
 {
   const char *id;
@@ -125,7 +124,7 @@
   load (&log);
   ck_assert_uint_eq (log.n_skipped, 3);
   ck_assert_uint_eq (lc_explain_flow (&log, FLOWS[_i].flow, FLOWS[_i].around_us, lines),
-                     FLOWS[_i].n_of_flow);
+                     FLOWS[_i].n_lines);
   for (; FLOWS[_i].events[n] != NULL; n++)
     {
       ck_assert_uint_lt (n, lines->len);
--- a/tests/platform/test-spread.c
+++ b/tests/platform/test-spread.c
@@ -1,4 +1,4 @@
-/* How long changes take to reach the machines of each role, from the lines of their processes. */
+/* Guards against wrong propagation times of changes, from logs with restarts, gaps and bad lines. */
 #include "cli/lc-spread.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -20,19 +20,19 @@
 #define END(at, program, name) LINE (at, program, name, "upstream.up", "")
 
 static const char LOG[] =
-    /* Two control VMs tell of one loss: the first word counts, though it is read last. */
+    /* Two control VMs log one loss: the earliest line counts, though it is read last. */
     LOST ("10.050000", "c-2", "7") LOST ("10.000000", "c-1", "7")
         LINE ("20.000000",
               "control",
               "c-1",
               "declaration.answered",
               ",\"number\":4,\"in_force\":4,\"revision\":9")
-    /* lb-1 has both, lines in any order; lb-2 jumps over the loss's revision. */
+    /* lb-1 has both, lines in any order; lb-2 skips the revision of the loss. */
     VIEW ("20.100000", "balancer", "lb-1", "9") VIEW ("10.010000", "balancer", "lb-1", "8")
         START ("01.000000", "balancer", "lb-1") VIEW ("01.100000", "balancer", "lb-1", "7")
             START ("01.000000", "balancer", "lb-2") VIEW ("10.300000", "balancer", "lb-2", "9")
                 END ("30.000000", "balancer", "lb-2")
-    /* lb-3 was killed before; lb-4 starts again before it has the loss. */
+    /* lb-3 was killed before; lb-4 restarts before it has the loss. */
     START ("01.000000", "balancer", "lb-3") VIEW ("09.000000", "balancer", "lb-3", "7")
         START ("01.000000", "balancer", "lb-4") VIEW ("09.000000", "balancer", "lb-4", "7")
             START ("10.200000", "balancer", "lb-4") VIEW ("10.400000", "balancer", "lb-4", "8")
@@ -88,59 +88,59 @@
       ck_assert_str_eq (change->member, CHANGES[i].member);
       for (int role = 0; role < LC_SPREAD_N_ROLES; role++)
         {
-          const LcSpreadTimes *wanted = &CHANGES[i].times[role];
+          const LcSpreadTimes *expected = &CHANGES[i].times[role];
           const char *name = lc_spread_role_name ((LcSpreadRole)role);
 
-          ck_assert_msg (times[role].n_reached == wanted->n_reached, "%u %s had", i, name);
-          ck_assert_msg (times[role].n_apart == wanted->n_apart, "%u %s apart", i, name);
-          ck_assert_msg (times[role].n_missing == wanted->n_missing, "%u %s never", i, name);
-          ck_assert_int_eq (times[role].middle_us, wanted->middle_us);
-          ck_assert_int_eq (times[role].last_us, wanted->last_us);
+          ck_assert_msg (times[role].n_reached == expected->n_reached, "%u %s had", i, name);
+          ck_assert_msg (times[role].n_excluded == expected->n_excluded, "%u %s apart", i, name);
+          ck_assert_msg (times[role].n_missing == expected->n_missing, "%u %s never", i, name);
+          ck_assert_int_eq (times[role].median_us, expected->median_us);
+          ck_assert_int_eq (times[role].last_us, expected->last_us);
         }
     }
   lc_spread_finish (&s);
 }
 END_TEST
 
-START_TEST (test_bad_lines_are_named)
+START_TEST (test_skipped_lines_are_listed)
 {
   LcSpread s;
 
   load (&s, LOG);
-  ck_assert_uint_eq (s.n_bad, 4);
-  ck_assert_ptr_nonnull (strstr (g_ptr_array_index (s.bad, 0), ": no JSON object"));
-  ck_assert_ptr_nonnull (strstr (g_ptr_array_index (s.bad, 1), ": no time"));
-  ck_assert_ptr_nonnull (strstr (g_ptr_array_index (s.bad, 2), ": no JSON object"));
-  ck_assert_ptr_nonnull (strstr (g_ptr_array_index (s.bad, 3), ": no time, program or name"));
+  ck_assert_uint_eq (s.n_skipped, 4);
+  ck_assert_ptr_nonnull (strstr (g_ptr_array_index (s.skipped, 0), ": no JSON object"));
+  ck_assert_ptr_nonnull (strstr (g_ptr_array_index (s.skipped, 1), ": no time"));
+  ck_assert_ptr_nonnull (strstr (g_ptr_array_index (s.skipped, 2), ": no JSON object"));
+  ck_assert_ptr_nonnull (strstr (g_ptr_array_index (s.skipped, 3), ": no time, program or name"));
   lc_spread_finish (&s);
 }
 END_TEST
 
-/* Each form has the change and its figures; also of logs that tell of nothing. */
-START_TEST (test_forms)
+/* Each output format has the change and its times, and is written for empty logs too. */
+START_TEST (test_formats)
 {
   static const struct
   {
     void (*write) (const LcSpread *s, GString *out);
     const char *has;
-  } FORMS[] = {
+  } FORMATS[] = {
     { lc_spread_write_text,
       "endpoint-lost        order-9                      10.0    300.0     2" },
     { lc_spread_write_json, "\"last_us\": 300000" },
     { lc_spread_write_svg, "<title>endpoint-lost</title>" },
   };
 
-  for (size_t i = 0; i < G_N_ELEMENTS (FORMS); i++)
+  for (size_t i = 0; i < G_N_ELEMENTS (FORMATS); i++)
     {
       GString *out = g_string_new (NULL);
       LcSpread s;
 
       load (&s, LOG);
-      FORMS[i].write (&s, out);
-      ck_assert_msg (strstr (out->str, FORMS[i].has) != NULL, "%s", out->str);
+      FORMATS[i].write (&s, out);
+      ck_assert_msg (strstr (out->str, FORMATS[i].has) != NULL, "%s", out->str);
       lc_spread_finish (&s);
       load (&s, "");
-      FORMS[i].write (&s, out);
+      FORMATS[i].write (&s, out);
       lc_spread_finish (&s);
       (void)g_string_free (out, TRUE);
     }
@@ -163,7 +163,7 @@
 }
 END_TEST
 
-START_TEST (test_no_file)
+START_TEST (test_missing_file)
 {
   LcError error = { 0 };
   LcSpread s;
@@ -182,10 +182,10 @@
   TCase *tc = tcase_create ("spread");
 
   tcase_add_test (tc, test_times);
-  tcase_add_test (tc, test_bad_lines_are_named);
-  tcase_add_test (tc, test_forms);
+  tcase_add_test (tc, test_skipped_lines_are_listed);
+  tcase_add_test (tc, test_formats);
   tcase_add_test (tc, test_kinds);
-  tcase_add_test (tc, test_no_file);
+  tcase_add_test (tc, test_missing_file);
   suite_add_tcase (suite, tc);
   return lc_fake_run (suite);
 }
