--- a/src/cli/lc-burn-collect.h
+++ b/src/cli/lc-burn-collect.h
@@ -30,14 +30,14 @@
 typedef struct
 {
   char name[LC_NAME_MAX];
-  LcBurnObjective objective; /* objective.service points to `name` */
+  LcBurnObjective objective; /* its service points to `name` */
 } LcBurnServiceRow;
 
 typedef struct
 {
   LcBurnMerge *merge;
   GArray *services;        /* LcBurnServiceRow */
-  GPtrArray *data_centres; /* char *, as control orders them */
+  GPtrArray *data_centres; /* char *, in control's order */
   GPtrArray *unanswered;   /* char *, "name at address" */
   uint32_t n_queried;
   uint32_t n_malformed; /* answers that are no burn history */
--- a/src/cli/lc-burn-history.c
+++ b/src/cli/lc-burn-history.c
@@ -3,7 +3,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-/* The file has one JSON object per line and sample:
+/* One JSON object per line and sample:
  * {"instance":"...","process":"...","service":"...","data_centre":"...","weight_percent":0,
  *  "started_at_us":0,"sample":[uptime_us, counts ...]} */
 
--- a/src/cli/lc-cli-client.h
+++ b/src/cli/lc-cli-client.h
@@ -33,7 +33,7 @@
 {
   LcSocketAddress addresses[LC_CLI_ADDRESSES_MAX];
   uint32_t n_addresses;
-  uint32_t next;       /* index of the address to try first: it answered last */
+  uint32_t next;       /* index to try first: the last that answered */
   uint32_t timeout_ms; /* of the whole call, over all attempts */
 } LcCliClient;
 
--- a/src/cli/lc-cli-explain.c
+++ b/src/cli/lc-cli-explain.c
@@ -13,7 +13,7 @@
 {
   LC_CLI_EXPLAIN_FILES_MAX = 4096,
   LC_CLI_EXPLAIN_ERRORS_MAX = 20,
-  LC_CLI_EXPLAIN_AROUND_MS = 2000, /* as long as an election or the suspicion of an agent takes */
+  LC_CLI_EXPLAIN_AROUND_MS = 2000, /* as long as an election or a suspicion lasts */
 };
 
 typedef struct
--- a/src/cli/lc-cli-plan.c
+++ b/src/cli/lc-cli-plan.c
@@ -13,7 +13,7 @@
   struct arg_lit *allow_cut;
 } LcCliPlanArgs;
 
-/* The arguments that each intent requires. */
+/* What each intent requires. */
 static const struct
 {
   const char *name;
--- a/src/cli/lc-cli-status.c
+++ b/src/cli/lc-cli-status.c
@@ -152,8 +152,8 @@
   g_ptr_array_free (lines, TRUE);
 }
 
-/* A follower's status lacks silences and what is in force.  It is replaced by the leader's if the
- * leader's address is among the given ones and it answers. */
+/* A follower lacks who is silent and what is in force: takes the leader's status instead, if its
+ * address is among the given ones and it answers. */
 static void
 lc_cli_status__prefer_leader (const LcCliCommon *common, json_t **answer)
 {
--- a/src/cli/lc-cli.h
+++ b/src/cli/lc-cli.h
@@ -2,8 +2,8 @@
  *
  * WHAT IT IS
  *   A subcommand is one function with its own argtable, in one file, and one line in the table of
- *   main.c.  LcCliCommon adds the options that most have (control addresses, JSON output, the
- *   operator's name, request id) and sets up a client from them.
+ *   main.c.  LcCliCommon adds the common options (control addresses, JSON output, operator,
+ *   request id) and sets up a client from them.
  *
  * HOW TO USE IT
  *     LcCliCommon common;
@@ -27,7 +27,7 @@
 
 enum
 {
-  LC_CLI_RUN = -1, /* no exit code: run the subcommand */
+  LC_CLI_RUN = -1, /* no exit code yet */
   LC_CLI_DONE = 0,
   LC_CLI_FAILED = 1,
   LC_CLI_USAGE = 2,
--- a/src/cli/lc-explain.c
+++ b/src/cli/lc-explain.c
@@ -202,7 +202,7 @@
     }
 }
 
-/* Connections between control VMs change often and explain nothing by themselves: left out. */
+/* Connections between control VMs change often and explain nothing by themselves. */
 static bool
 lc_explain__is_context (const LcExplainLine *line, const LcExplainSpan *span)
 {
--- a/src/cli/lc-spread.h
+++ b/src/cli/lc-spread.h
@@ -38,7 +38,7 @@
 {
   LC_SPREAD_POINTS_MAX = 4 << 20,
   LC_SPREAD_CHANGES_MAX = 1 << 16,
-  LC_SPREAD_BAD_NAMED = 10, /* skipped lines that are listed; further ones are counted */
+  LC_SPREAD_BAD_NAMED = 10, /* skipped lines that are listed; others are counted */
 };
 
 typedef enum
--- a/tests/platform/prop-burn.cc
+++ b/tests/platform/prop-burn.cc
@@ -1,4 +1,4 @@
-// Guards against merged counts that are inexact, negative or doubled after restarts, in any order.
+// Guards against merged counts that are wrong, negative or doubled after restarts, in any order.
 #include "core/burn/lc-burn-merge.h"
 #include "core/burn/lc-burn-ring.h"
 #include "core/lc-error.h"
--- a/tests/platform/test-attention.c
+++ b/tests/platform/test-attention.c
@@ -1,4 +1,4 @@
-/* Guards against problems in control's status that are not listed, or listed before their limit. */
+/* Guards against problems that are missed, or listed too early. */
 #include "cli/lc-cli-attention.h"
 #include "tests/fakes/lc-fake-run.h"
 
--- a/tests/platform/test-explain.c
+++ b/tests/platform/test-explain.c
@@ -16,7 +16,7 @@
 #define TWO "10.0.0.70:40001>198.18.0.1:443"
 #define OTHER "10.0.0.7:40002>198.18.0.2:443"
 
-/* Two files, neither in time order; one line begins with a log collector's prefix. */
+/* Two files, not in time order; one line has a log collector's prefix. */
 static const char *const FILES[] = {
   "edge-1 | " AT ("10.000100", "lychee-balancer", "lb-1", "flow.steered", OF (ONE))
       AT ("10.900000", "lychee-balancer", "lb-1", "view.applied", "")
--- a/tests/platform/test-spread.c
+++ b/tests/platform/test-spread.c
@@ -1,4 +1,4 @@
-/* Guards against wrong propagation times of changes, from logs with restarts, gaps and bad lines. */
+/* Guards against wrong propagation times, from logs with restarts, gaps and bad lines. */
 #include "cli/lc-spread.h"
 #include "tests/fakes/lc-fake-run.h"
 
