--- a/src/cli/lc-burn-collect.h
+++ b/src/cli/lc-burn-collect.h
@@ -2,8 +2,8 @@
  *
  * WHAT IT IS
  *   Control's status lists the services with their objectives and the balancers and agents with
- *   their addresses; each of these serves GET /v1/burn on its admin port.  Up to LC_BURN_THREADS
- *   are queried at once.  A process that doesn't answer is listed by name, never estimated.
+ *   their addresses; each of these serves GET /v1/burn on its admin port.  Up to
+ *   LC_BURN_THREADS are queried at once.  Those that don't answer are listed, never estimated.
  *
  * HOW TO USE IT
  *     LcBurnCollect collector;
--- a/tests/platform/test-attention.c
+++ b/tests/platform/test-attention.c
@@ -46,7 +46,7 @@
   { "[]", { "no control VM leads" } },
 };
 
-START_TEST (test_lines)
+START_TEST (test_listed_problems)
 {
   json_t *status = json_loads (CASES[_i].status, 0, NULL);
   GPtrArray *lines;
@@ -71,7 +71,7 @@
   Suite *suite = suite_create ("attention");
   TCase *tcase = tcase_create ("rules");
 
-  tcase_add_loop_test (tcase, test_lines, 0, sizeof CASES / sizeof CASES[0]);
+  tcase_add_loop_test (tcase, test_listed_problems, 0, sizeof CASES / sizeof CASES[0]);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
--- a/tests/platform/test-burn.c
+++ b/tests/platform/test-burn.c
@@ -11,7 +11,7 @@
 #define MINUTE_US (60 * LC_US_PER_S)
 #define DAY_US (24 * HOUR_US)
 
-/* Counts at an age before now, of a process that started three days ago. */
+/* Counts at an age before now, of a process with even traffic that started three days ago. */
 typedef struct
 {
   int64_t age_us;
--- a/tests/platform/test-explain.c
+++ b/tests/platform/test-explain.c
@@ -100,7 +100,7 @@
 } REQUESTS[] = { { "order-17", 6 }, { "ff", 6 }, { "0a", 6 }, { "0b", 6 },
                  { "0c", 1 },       { "fe", 1 }, { "no", 0 } };
 
-START_TEST (test_request)
+START_TEST (test_request_by_any_id)
 {
   GPtrArray *lines = g_ptr_array_new ();
   LcExplainLog log;
@@ -115,7 +115,7 @@
 }
 END_TEST
 
-START_TEST (test_flow)
+START_TEST (test_flow_lines)
 {
   GPtrArray *lines = g_ptr_array_new ();
   LcExplainLog log;
@@ -157,7 +157,7 @@
   { { .since_us = SECOND (12), .until_us = SECOND (12) }, 1, TWO, 0 },
 };
 
-START_TEST (test_flows)
+START_TEST (test_flow_list)
 {
   GArray *flows = g_array_new (FALSE, FALSE, sizeof (LcExplainFlow));
   LcExplainLog log;
@@ -187,7 +187,7 @@
   { "-5", -1 },
 };
 
-START_TEST (test_time)
+START_TEST (test_parse_time)
 {
   ck_assert_int_eq (lc_explain_time (TIMES[_i].text), TIMES[_i].at_us);
 }
@@ -211,10 +211,10 @@
   Suite *suite = suite_create ("explain");
   TCase *tcase = tcase_create ("explain");
 
-  tcase_add_loop_test (tcase, test_request, 0, (int)G_N_ELEMENTS (REQUESTS));
-  tcase_add_loop_test (tcase, test_flow, 0, (int)G_N_ELEMENTS (FLOWS));
-  tcase_add_loop_test (tcase, test_flows, 0, (int)G_N_ELEMENTS (QUERIES));
-  tcase_add_loop_test (tcase, test_time, 0, (int)G_N_ELEMENTS (TIMES));
+  tcase_add_loop_test (tcase, test_request_by_any_id, 0, (int)G_N_ELEMENTS (REQUESTS));
+  tcase_add_loop_test (tcase, test_flow_lines, 0, (int)G_N_ELEMENTS (FLOWS));
+  tcase_add_loop_test (tcase, test_flow_list, 0, (int)G_N_ELEMENTS (QUERIES));
+  tcase_add_loop_test (tcase, test_parse_time, 0, (int)G_N_ELEMENTS (TIMES));
   tcase_add_test (tcase, test_missing_file);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
