--- a/tests/platform/test-explain.c
+++ b/tests/platform/test-explain.c
@@ -1,4 +1,4 @@
-/* From a flow's id to its lines: joined over processes, in time order, with what they believed. */
+/* Guards against lines of a flow or request that are missed, out of order or of another flow. */
 #include "cli/lc-explain.h"
 #include "core/lc-types.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -16,7 +16,7 @@
 #define TWO "10.0.0.70:40001>198.18.0.1:443"
 #define OTHER "10.0.0.7:40002>198.18.0.2:443"
 
-/* Two files, neither in order; the first line of one has a collector's prefix. */
+/* Two files, not in time order; one line has a log collector's prefix. */
 static const char *const FILES[] = {
   "edge-1 | " AT ("10.000100", "lychee-balancer", "lb-1", "flow.steered", OF (ONE))
       AT ("10.900000", "lychee-balancer", "lb-1", "view.applied", "")
@@ -60,7 +60,7 @@
 {
   const char *flow;
   int64_t around_us;
-  uint32_t n_of_flow;
+  uint32_t n_lines;
   const char *events[8]; /* in order; NULL ends */
 } FLOWS[] = {
   { ONE,
@@ -79,8 +79,7 @@
 #define REQUEST(request) ",\"request\":\"" request "\""
 #define KEY(key) ",\"key\":\"" key "\""
 
-/* Two copies of one order through two balancers; the second agent names one copy, a home the key.
- */
+/* Two copies of one order through two balancers; some lines have only the copy's id or the key. */
 static const char ORDERS[] = AT ("10.000000",
                                  "lychee-balancer",
                                  "lb-1",
@@ -93,7 +92,7 @@
             AT ("10.400000", "lychee-agent", "desk-2", "request.started", REQUEST ("0b")) AT (
                 "10.500000", "lychee-balancer", "lb-2", "request.sent", REQUEST ("0c") KEY ("fe"));
 
-/* Whatever of its names a caller knows. */
+/* Each id of the order selects all its lines. */
 static const struct
 {
   const char *id;
@@ -101,7 +100,7 @@
 } REQUESTS[] = { { "order-17", 6 }, { "ff", 6 }, { "0a", 6 }, { "0b", 6 },
                  { "0c", 1 },       { "fe", 1 }, { "no", 0 } };
 
-START_TEST (test_request)
+START_TEST (test_request_by_any_id)
 {
   GPtrArray *lines = g_ptr_array_new ();
   LcExplainLog log;
@@ -116,7 +115,7 @@
 }
 END_TEST
 
-START_TEST (test_flow)
+START_TEST (test_flow_lines)
 {
   GPtrArray *lines = g_ptr_array_new ();
   LcExplainLog log;
@@ -125,7 +124,7 @@
   load (&log);
   ck_assert_uint_eq (log.n_skipped, 3);
   ck_assert_uint_eq (lc_explain_flow (&log, FLOWS[_i].flow, FLOWS[_i].around_us, lines),
-                     FLOWS[_i].n_of_flow);
+                     FLOWS[_i].n_lines);
   for (; FLOWS[_i].events[n] != NULL; n++)
     {
       ck_assert_uint_lt (n, lines->len);
@@ -158,7 +157,7 @@
   { { .since_us = SECOND (12), .until_us = SECOND (12) }, 1, TWO, 0 },
 };
 
-START_TEST (test_flows)
+START_TEST (test_flow_list)
 {
   GArray *flows = g_array_new (FALSE, FALSE, sizeof (LcExplainFlow));
   LcExplainLog log;
@@ -188,7 +187,7 @@
   { "-5", -1 },
 };
 
-START_TEST (test_time)
+START_TEST (test_parse_time)
 {
   ck_assert_int_eq (lc_explain_time (TIMES[_i].text), TIMES[_i].at_us);
 }
@@ -212,10 +211,10 @@
   Suite *suite = suite_create ("explain");
   TCase *tcase = tcase_create ("explain");
 
-  tcase_add_loop_test (tcase, test_request, 0, (int)G_N_ELEMENTS (REQUESTS));
-  tcase_add_loop_test (tcase, test_flow, 0, (int)G_N_ELEMENTS (FLOWS));
-  tcase_add_loop_test (tcase, test_flows, 0, (int)G_N_ELEMENTS (QUERIES));
-  tcase_add_loop_test (tcase, test_time, 0, (int)G_N_ELEMENTS (TIMES));
+  tcase_add_loop_test (tcase, test_request_by_any_id, 0, (int)G_N_ELEMENTS (REQUESTS));
+  tcase_add_loop_test (tcase, test_flow_lines, 0, (int)G_N_ELEMENTS (FLOWS));
+  tcase_add_loop_test (tcase, test_flow_list, 0, (int)G_N_ELEMENTS (QUERIES));
+  tcase_add_loop_test (tcase, test_parse_time, 0, (int)G_N_ELEMENTS (TIMES));
   tcase_add_test (tcase, test_missing_file);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
