--- a/src/controller/lc-member-choose.c
+++ b/src/controller/lc-member-choose.c
@@ -5,22 +5,23 @@
 
 enum
 {
-  LC_MEMBER_BEHIND_MS = 1000,     /* another upstream has been ahead for so long: move */
-  LC_MEMBER_AVOID_MS = 10000,     /* a silent upstream, with jitter up to twice this */
-  LC_MEMBER_REBALANCE_MS = 10000, /* moves to a better upstream are spread over this */
-  LC_MEMBER_LOST_MS = 15000,      /* nobody heard for so long: back to the seeds */
-  LC_MEMBER_EMPTY_MS = 300,       /* an upstream without a view is given so long to get one */
-  LC_MEMBER_AVOID_EMPTY_MS = 500, /* and then left for so long, with jitter up to twice this */
+  LC_MEMBER_BEHIND_MS = 1000,     /* a source that is behind for so long is replaced */
+  LC_MEMBER_AVOID_MS = 10000,     /* a silent upstream; up to twice this with jitter */
+  LC_MEMBER_REBALANCE_MS = 10000, /* moves to better upstreams are spread over this */
+  LC_MEMBER_LOST_MS = 15000,      /* without a frame from any upstream: use the seeds */
+  LC_MEMBER_EMPTY_MS = 300,       /* an upstream without a view is replaced after this */
+  LC_MEMBER_AVOID_EMPTY_MS = 500, /* and avoided this long; up to twice this with jitter */
 };
 
 /* === private: choice of upstreams =========================================================== */
 
-/* The balancers that an old view names may all have been replaced: an agent that has heard nobody
- * for long tries the seeds of its settings too. */
+/* All balancers of an old view may have been replaced, so an agent that receives nothing for long
+ * tries its seeds, too. */
 static bool
 lc_member__is_lost (const LcMember *member, int64_t now_us)
 {
-  return now_us - MAX (member->heard_us, member->started_us) >= LC_MEMBER_LOST_MS * LC_US_PER_MS;
+  return now_us - MAX (member->last_frame_us, member->started_us) >=
+         LC_MEMBER_LOST_MS * LC_US_PER_MS;
 }
 
 static void
@@ -52,23 +53,22 @@
   lc_upstreams_end (&member->upstreams);
 }
 
-/* Agents: the balancers of their own data centre that the view knows; before there is a view, the
- * seeds. */
+/* Agents: the active balancers of their own data centre; before there is a view, the seeds. */
 void
 lc_member__list_balancers (LcMember *member, int64_t now_us)
 {
   const LcView *view = &member->sync.view;
   const LcDataCentre *dc = lc_view_dc_by_name (view, member->desc.data_centre);
-  bool is_lost = lc_member__is_lost (member, now_us);
+  bool is_isolated = lc_member__is_lost (member, now_us);
 
-  if (dc == NULL ||
-      (member->balancers_seen_revision == (int64_t)view->revision && member->was_lost == is_lost))
+  if (dc == NULL || (member->upstreams_revision == (int64_t)view->revision &&
+                     member->was_isolated == is_isolated))
     return;
-  member->balancers_seen_revision = (int64_t)view->revision;
-  member->was_lost = is_lost;
+  member->upstreams_revision = (int64_t)view->revision;
+  member->was_isolated = is_isolated;
   lc_upstreams_begin (&member->upstreams);
   lc_member__add_balancers (member, dc->id);
-  if (is_lost)
+  if (is_isolated)
     lc_member__add_seeds (member);
   lc_upstreams_end (&member->upstreams);
 }
@@ -89,7 +89,7 @@
                                                           : member->desc.balancer.ipv4;
   slot->address = (LcSocketAddress){ .ipv4 = ipv4, .port = port };
   slot->opened_us = now_us;
-  slot->heard_us = 0;
+  slot->last_frame_us = 0;
   slot->move_at_us = 0;
   if (slot->is_open)
     lc_link_client_retarget (&slot->client, ipv4, port);
@@ -101,24 +101,23 @@
 static bool
 lc_member__is_silent (const LcMemberSlot *slot, int64_t now_us)
 {
-  int64_t last_us = MAX (slot->heard_us, slot->opened_us);
+  int64_t last_us = MAX (slot->last_frame_us, slot->opened_us);
 
   return slot->is_open && now_us - last_us > lc_member__silent_us (slot->member);
 }
 
-/* It answers and has no view to give.  All are like that for a moment after a start of all, so it
- * is left only after a short while, unless it says that it stands by, and only by who has no view.
- */
+/* It answers but has no view, nor has this member.  When everything starts at once, no upstream
+ * has one at first, so there is a grace period, except for a control VM on standby. */
 static bool
 lc_member__is_empty (const LcMemberSlot *slot, int64_t now_us)
 {
   return slot->is_open && slot->is_known && slot->revision == 0 &&
          slot->member->sync.view.revision == 0 &&
-         (slot->stands_by || now_us - slot->opened_us >= LC_MEMBER_EMPTY_MS * LC_US_PER_MS);
+         (slot->is_standby || now_us - slot->opened_us >= LC_MEMBER_EMPTY_MS * LC_US_PER_MS);
 }
 
-/* It is up and knows nothing of what others have known for long: its own upstream may be cut off. A
- * new one is given the time to say what it has. */
+/* It is up but lacks revisions that others have had for long: its own upstream may be cut off.  A
+ * new one has a grace period to report its revision. */
 static bool
 lc_member__is_lagging (const LcMemberSlot *slot, int64_t now_us)
 {
@@ -137,7 +136,7 @@
 static LcMemberSlot *
 lc_member__slot_at (LcMember *member, uint32_t ipv4, uint16_t port)
 {
-  for (uint32_t i = member->first_moving; i < member->n_slots; i++)
+  for (uint32_t i = member->first_dynamic; i < member->n_slots; i++)
     if (member->slots[i].is_open && member->slots[i].address.ipv4 == ipv4 &&
         member->slots[i].address.port == port)
       return &member->slots[i];
@@ -147,7 +146,7 @@
 static void
 lc_member__avoid_useless (LcMember *member, LcUpstreams *from, int64_t now_us)
 {
-  for (uint32_t i = member->first_moving; i < member->n_slots; i++)
+  for (uint32_t i = member->first_dynamic; i < member->n_slots; i++)
     {
       LcMemberSlot *slot = &member->slots[i];
       bool is_silent = lc_member__is_silent (slot, now_us);
@@ -169,8 +168,8 @@
   return false;
 }
 
-/* A slot that may take another upstream now: an unused or silent one at once; one that works but
- * is no longer among the best after a random while, so that agents don't all move together. */
+/* A slot that may take another upstream: an unused or failed one at once; one that works but is no
+ * longer among the best after a random delay, so that agents don't all move together. */
 static LcMemberSlot *
 lc_member__free_slot (LcMember *member,
                       const LcUpstreams *from,
@@ -178,7 +177,7 @@
                       uint32_t n_best,
                       int64_t now_us)
 {
-  for (uint32_t i = member->first_moving; i < member->n_slots; i++)
+  for (uint32_t i = member->first_dynamic; i < member->n_slots; i++)
     {
       LcMemberSlot *slot = &member->slots[i];
 
@@ -191,7 +190,7 @@
           continue;
         }
       if (lc_upstreams_rank (from, slot->address.ipv4, slot->address.port) == UINT32_MAX)
-        return slot; /* a seed, or one that left: there are better ones now */
+        return slot; /* a seed, or no longer in the view */
       if (slot->move_at_us == 0)
         slot->move_at_us = now_us + lc_member__jitter_us (LC_MEMBER_REBALANCE_MS * LC_US_PER_MS);
       else if (now_us >= slot->move_at_us)
@@ -242,12 +241,11 @@
   lc_link_client_finish (&slot->client);
 }
 
-/* A balancer that is linked to control keeps a link to every control VM and takes the view from one
- * of them. */
+/* Connects to every control VM; one of them becomes the source of the view. */
 static void
 lc_member__open_control (LcMember *member, int64_t now_us)
 {
-  for (uint32_t i = 0; i < member->first_moving; i++)
+  for (uint32_t i = 0; i < member->first_dynamic; i++)
     if (!member->slots[i].is_open && member->slots[i].address.ipv4 != 0)
       lc_member__open (&member->slots[i], member->slots[i].address.ipv4,
                        member->slots[i].address.port, now_us);
@@ -274,9 +272,9 @@
   const LcBalancer *relays[LC_RELAYS_MAX];
   uint32_t n;
 
-  if (member->balancers_seen_revision == (int64_t)view->revision)
+  if (member->upstreams_revision == (int64_t)view->revision)
     return;
-  member->balancers_seen_revision = (int64_t)view->revision;
+  member->upstreams_revision = (int64_t)view->revision;
   member->has_relays =
       me != NULL && me->state == LC_BALANCER_ACTIVE && !lc_relays_is_direct (view, me);
   if (!member->has_relays)
@@ -288,25 +286,24 @@
   lc_upstreams_end (&member->relays);
 }
 
-/* A relay that answers and is itself cut off from control serves a view that grows old. */
+/* A relay that answers but is itself cut off from control serves an outdated view. */
 static bool
 lc_member__is_vouched (const LcMemberSlot *slot, int64_t now_us)
 {
-  return now_us - slot->vouched_us <= lc_member__unvouched_us (slot->member);
+  return now_us - slot->confirmed_us <= lc_member__unvouched_us (slot->member);
 }
 
 static bool
 lc_member__has_working_relay (const LcMember *member, int64_t now_us)
 {
-  for (uint32_t i = member->first_moving; i < member->n_slots; i++)
+  for (uint32_t i = member->first_dynamic; i < member->n_slots; i++)
     if (lc_member__is_usable (&member->slots[i], now_us) &&
         lc_member__is_vouched (&member->slots[i], now_us))
       return true;
   return false;
 }
 
-/* Through relays while one of them answers and has control's word; straight to control otherwise.
- */
+/* Relays while one of them works and control has confirmed its view; control otherwise. */
 void
 lc_member__choose_balancer_upstreams (LcMember *member, int64_t now_us)
 {
@@ -314,14 +311,14 @@
   if (member->has_relays)
     lc_member__choose_moving (member, &member->relays, now_us);
   else
-    for (uint32_t i = member->first_moving; i < member->n_slots; i++)
+    for (uint32_t i = member->first_dynamic; i < member->n_slots; i++)
       lc_member__close (&member->slots[i], now_us);
   if (!member->has_relays || !lc_member__has_working_relay (member, now_us))
     {
       lc_member__open_control (member, now_us);
       return;
     }
-  for (uint32_t i = 0; i < member->first_moving; i++)
+  for (uint32_t i = 0; i < member->first_dynamic; i++)
     lc_member__close (&member->slots[i], now_us);
 }
 
@@ -333,7 +330,7 @@
   return slot->is_open && slot->is_known && !lc_member__is_silent (slot, now_us);
 }
 
-/* The usable upstream with the newest view; the leader, then rendezvous order, among equals. */
+/* The usable upstream with the newest view; the first by rendezvous rank among equals. */
 static LcMemberSlot *
 lc_member__newest_slot (LcMember *member, int64_t now_us)
 {
@@ -355,22 +352,21 @@
   return best;
 }
 
-/* At start the others are waited for a little, so that the newest view is taken first. */
+/* At start, waits a little for the other upstreams, so as to begin with the newest view. */
 static bool
 lc_member__may_start (const LcMember *member, int64_t now_us)
 {
-  uint32_t n_unheard = 0;
+  uint32_t n_unanswered = 0;
 
   if (member->sync.view.revision > 0 || member->is_started)
     return true;
   for (uint32_t i = 0; i < member->n_slots; i++)
-    n_unheard += member->slots[i].is_open && !member->slots[i].is_known;
-  return lc_first_view_may_accept (&member->first_view, n_unheard, now_us);
+    n_unanswered += member->slots[i].is_open && !member->slots[i].is_known;
+  return lc_first_view_may_accept (&member->first_view, n_unanswered, now_us);
 }
 
-/* Whether the primary has been behind another upstream for too long.  One without any view is left
- * at once by a member that has none either: nothing is lost, and each second without a view is one
- * without service. */
+/* Whether the primary has been behind another upstream for too long.  A primary without a view is
+ * replaced at once by a member that has none either: until there is a view, nothing is served. */
 static bool
 lc_member__is_behind (LcMember *member,
                       const LcMemberSlot *primary,
@@ -389,7 +385,6 @@
   return now_us - member->behind_us >= LC_MEMBER_BEHIND_MS * LC_US_PER_MS;
 }
 
-/* Said once when the view begins to stand still, and once when it goes on. */
 void
 lc_member__check_stale (LcMember *member, int64_t now_us)
 {
@@ -434,8 +429,8 @@
   member->primary = lc_member__index (newest);
 }
 
-/* A balancer takes the view from one upstream; an agent, whose part is small, from both, so that
- * the death of one costs no time. */
+/* A balancer subscribes to one upstream; an agent, whose part of the view is small, to both, so
+ * that the failure of one causes no delay. */
 void
 lc_member__subscribe_due (LcMember *member, int64_t now_us)
 {
--- a/src/controller/lc-member-private.h
+++ b/src/controller/lc-member-private.h
@@ -1,27 +1,30 @@
-/* lc-member-private: what the files of lc-member share; not for others.
+/* lc-member-private: interfaces between the source files of lc-member; not for others.
  *
- * lc-member.c is the task itself, lc-member-upstream.c speaks with upstreams, lc-member-choose.c
- * decides which they are, and lc-member-serve.c serves those downstream.
+ * WHAT IT IS
+ *   lc-member.c            lifetime, ticks, the planned stop
+ *   lc-member-upstream.c   messages to and from upstreams
+ *   lc-member-choose.c     selection of upstreams
+ *   lc-member-serve.c      service to agents and balancers downstream
  */
 #ifndef LC_MEMBER_PRIVATE_H
 #define LC_MEMBER_PRIVATE_H
 
 #include "lc-member.h"
 
-/* === lc-member-upstream.c: what is said to an upstream, and what comes from it ============== */
+/* === lc-member-upstream.c =================================================================== */
 
-/* Silence after which an upstream is left. */
+/* An upstream that sends nothing for longer is replaced. */
 int64_t lc_member__silent_us (const LcMember *member);
-/* Age of control's word after which a relay does not count as working. */
+/* A relay whose view control has not confirmed for longer does not count as working. */
 int64_t lc_member__unvouched_us (const LcMember *member);
-/* Uniform in [0, span). */
+/* Uniform in [0, span_us). */
 int64_t lc_member__jitter_us (int64_t span_us);
 const char *lc_member__name (const LcMember *member);
 uint32_t lc_member__index (const LcMemberSlot *slot);
-/* NULL while the slot has no working link. */
+/* NULL while the slot is not connected. */
 LcLink *lc_member__link (LcMemberSlot *slot);
 void lc_member__subscribe (LcMemberSlot *slot, int64_t now_us);
-/* What this slot is told to have been reached by this node and those below it. */
+/* Folds the acknowledgements of this process and those downstream, to be sent to this slot. */
 void lc_member__fold (LcMember *member, uint32_t slot_index, LcFold *fold);
 void lc_member__send_renew (LcMemberSlot *slot, LcMemberPhase phase, int64_t now_us);
 void lc_member__hello_all (LcMember *member);
@@ -32,25 +35,25 @@
 
 /* === lc-member.c ============================================================================ */
 
-/* Something changed that the tick acts on: it comes within a few milliseconds. */
+/* Brings the next tick forward to a few milliseconds from now. */
 void lc_member__tick_soon (LcMember *member);
 
-/* === lc-member-choose.c: which upstreams, and which of them the view comes from ============== */
+/* === lc-member-choose.c ===================================================================== */
 
-/* The upstreams of a member without a view: the seeds, and the control VMs it was told of. */
+/* Makes the seeds the upstreams of a member without a view. */
 void lc_member__list_seeds (LcMember *member);
-/* Gives a balancer's slot for control another address. */
+/* Replaces the address of a balancer's slot for control. */
 void lc_member__place_control (LcMember *member,
                                uint32_t slot_index,
                                const LcSocketAddress *address,
                                int64_t now_us);
 void lc_member__list_balancers (LcMember *member, int64_t now_us);
-/* Watchers of an agent, relays of a balancer. */
+/* Selects the watchers of an agent, or the relays of a balancer, by rendezvous hashing. */
 void lc_member__choose_moving (LcMember *member, LcUpstreams *from, int64_t now_us);
 void lc_member__choose_balancer_upstreams (LcMember *member, int64_t now_us);
-/* It has answered and is not silent. */
+/* Whether it has sent its status and is not silent. */
 bool lc_member__is_usable (const LcMemberSlot *slot, int64_t now_us);
-/* Whether the view stands still; at each tick. */
+/* Logs when the view becomes stale or current again; at each tick. */
 void lc_member__check_stale (LcMember *member, int64_t now_us);
 void lc_member__choose_primary (LcMember *member, int64_t now_us);
 void lc_member__subscribe_due (LcMember *member, int64_t now_us);
--- a/src/controller/lc-member-serve.c
+++ b/src/controller/lc-member-serve.c
@@ -12,10 +12,10 @@
 
 enum
 {
-  LC_MEMBER_SERVE_SUSPECTS = 64,    /* asked about at one tick */
-  LC_MEMBER_SERVE_WATCHERS = 4,     /* first choices that are asked about one suspect */
-  LC_MEMBER_SERVE_SEED_MS = 15000,  /* between sweeps for endpoints that nobody watches */
-  LC_MEMBER_SERVE_REPORT_MAX = 256, /* changes in one report */
+  LC_MEMBER_SERVE_SUSPECTS = 64,    /* queried about in one tick */
+  LC_MEMBER_SERVE_WATCHERS = 4,     /* queried about one suspect */
+  LC_MEMBER_SERVE_SEED_MS = 15000,  /* between searches for members without a lease */
+  LC_MEMBER_SERVE_REPORT_MAX = 256, /* changes per report */
 };
 
 /* === public: lifetime ======================================================================= */
@@ -51,7 +51,7 @@
   lc_view_server_finish (&member->server);
 }
 
-/* === private: answers ======================================================================= */
+/* === private: registration, renewal, subscription =========================================== */
 
 static void
 lc_member_serve__send_status (LcMember *member, LcLink *link, bool needs_hello, int64_t now_us)
@@ -132,7 +132,7 @@
   lc_member_serve__send_status (member, link, !is_known, now_us);
 }
 
-/* === private: questions between watchers ==================================================== */
+/* === private: queries between watchers ====================================================== */
 
 static void
 lc_member_serve__on_query (LcMember *member, LcLink *link, const Lc__Wire__LeaseQuery *query)
@@ -179,7 +179,7 @@
   (void)lc_link_send (link, LC_FRAME_MEMBER_LEASE_QUERY, &query.base);
 }
 
-/* What a balancer below has reported goes on upstream as it is. */
+/* Forwards the report of a balancer downstream unchanged. */
 static void
 lc_member_serve__forward_report (LcMember *member, const LcFrame *frame, int64_t now_us)
 {
@@ -189,7 +189,7 @@
     (void)lc_link_send_bytes (link, frame->type, frame->payload, frame->payload_len);
 }
 
-/* Those that a member could choose as watchers: the relays of its data centre for a balancer, all
+/* Adds the possible watchers of a member: the relays of its data centre for a balancer, all active
  * balancers there for an endpoint. */
 static void
 lc_member_serve__add_watchers (const LcMember *member, bool is_balancer, LcDcId dc, LcUpstreams *up)
@@ -209,7 +209,7 @@
     }
 }
 
-/* The watchers that a member would choose, best first. */
+/* The watchers of a member by rendezvous rank, best first. */
 static uint32_t
 lc_member_serve__watchers (
     const LcMember *member, const LcMemberChange *of, LcDcId dc, LcUpstream *out, uint32_t max)
@@ -249,9 +249,9 @@
       lc_member_serve__ask (member, &watchers[i], lease, now_us);
 }
 
-/* === private: endpoints that nobody watches ================================================= */
+/* === private: members without a lease ======================================================= */
 
-/* Whether this balancer is the first or second choice of the endpoint. */
+/* Whether this balancer is one of the two best-ranked watchers of the endpoint. */
 static bool
 lc_member_serve__is_watcher (const LcMember *member, const LcEndpoint *e)
 {
@@ -288,7 +288,7 @@
   lc_watch_seed (&member->watch, &change, now_us);
 }
 
-/* Whether this node is the first or second choice of a member. */
+/* Whether this balancer is one of the two best-ranked watchers of a member. */
 static bool
 lc_member_serve__is_chosen (const LcMember *member, const LcMemberChange *of, LcDcId dc)
 {
@@ -301,7 +301,7 @@
   return false;
 }
 
-/* A relay watches the balancers of its data centre that control doesn't. */
+/* A relay watches those balancers of its data centre that are not relays. */
 static void
 lc_member_serve__seed_balancers (LcMember *member, const LcDataCentre *dc, int64_t now_us)
 {
@@ -324,8 +324,8 @@
     }
 }
 
-/* An endpoint in the view whose watchers all restarted after it died has no lease anywhere: its
- * first choices take one from the view, and it expires unless the endpoint speaks somewhere. */
+/* A member that died before all its watchers restarted has no lease, so nothing would report it
+ * lost.  Its best-ranked watchers start a lease from the view, which expires unless renewed. */
 static void
 lc_member_serve__sweep (LcMember *member, int64_t now_us)
 {
@@ -333,7 +333,7 @@
   GHashTableIter iter;
   gpointer value;
 
-  /* One that leaves is nobody's choice: a lease that it took would end, since nobody renews it. */
+  /* Nobody renews with a balancer that leaves, so a lease that it started would expire. */
   if (dc == NULL || member->phase == LC_MEMBER_PHASE_LEAVING ||
       now_us - member->seeded_us < LC_MEMBER_SERVE_SEED_MS * LC_US_PER_MS)
     return;
@@ -396,7 +396,7 @@
   LcMemberReporter *r;
 
   if (link == NULL || member->sync.view.revision == 0)
-    return; /* cut off, or it doesn't know yet what the view lacks */
+    return; /* cut off, or without a view to compare the leases with */
   r = g_new (LcMemberReporter, 1);
   r->member = member;
   r->link = link;
@@ -434,7 +434,6 @@
   lc_view_server_link_down (&member->server, link);
 }
 
-/* One function a frame type; a payload that does not unpack is counted and dropped. */
 void
 lc_member_serve_frame (LcMember *member, LcLink *link, const LcFrame *frame)
 {
--- a/src/controller/lc-member-serve.h
+++ b/src/controller/lc-member-serve.h
@@ -1,8 +1,8 @@
-/* lc-member-serve: what a balancer does for those downstream of it.
+/* lc-member-serve: a balancer's service to the agents and balancers downstream.
  *
  * WHAT IT IS
- *   Private part of lc-member: leases of agents, their subscriptions, questions between watchers,
- *   and the reports that follow.  Called by lc-member.c only.
+ *   Private part of lc-member, called by lc-member.c only: leases, subscriptions to the view,
+ *   queries between watchers about suspects, and reports of transitions to control.
  */
 #ifndef LC_MEMBER_SERVE_H
 #define LC_MEMBER_SERVE_H
@@ -13,12 +13,12 @@
 void lc_member_serve_finish (LcMember *member);
 void lc_member_serve_frame (LcMember *member, LcLink *link, const LcFrame *frame);
 void lc_member_serve_link_down (LcMember *member, LcLink *link);
-/* Leases, suspects and reports; every tick. */
+/* Expires leases, queries watchers about suspects and sends reports; at each tick. */
 void lc_member_serve_tick (LcMember *member, int64_t now_us);
-/* The acknowledgements of everything below, without this node's own. */
+/* Folds the acknowledgements from downstream, without this balancer's own. */
 void lc_member_serve_fold (const LcMember *member, LcFold *fold);
 
-/* Of lc-member.c, for lc-member-serve.c. */
+/* For lc-member-serve.c; defined in lc-member.c and lc-member-upstream.c. */
 LcLink *lc_member_report_link (LcMember *member, int64_t now_us);
 void lc_member_note_malformed (LcMember *member, const char *what, const LcError *error);
 
--- a/src/controller/lc-member-upstream.c
+++ b/src/controller/lc-member-upstream.c
@@ -17,7 +17,7 @@
   LC_MEMBER_LINK_LOG_PER_S = 5,
 };
 
-/* === private: small parts =================================================================== */
+/* === private: helpers ======================================================================= */
 
 static uint32_t
 lc_member__lease_ms (const LcMember *member)
@@ -31,21 +31,20 @@
   return (int64_t)lc_member__lease_ms (member) * LC_US_PER_MS / 3;
 }
 
-/* Two renewals without an answer and a little more. */
+/* Two and a half renewal intervals: two renewals without an answer. */
 int64_t
 lc_member__silent_us (const LcMember *member)
 {
   return lc_member__renew_us (member) * 2 + lc_member__renew_us (member) / 2;
 }
 
-/* A renewal here, one at the relay, and as much as a silence takes beyond two. */
+/* One renewal interval more than silence, since the relay's confirmation is that old already. */
 int64_t
 lc_member__unvouched_us (const LcMember *member)
 {
   return lc_member__silent_us (member) + lc_member__renew_us (member);
 }
 
-/* Uniform in [0, span). */
 int64_t
 lc_member__jitter_us (int64_t span_us)
 {
@@ -140,7 +139,7 @@
 
   if (now_us < slot->subscribe_at_us)
     {
-      slot->is_subscribed = false; /* asked again at a tick */
+      slot->is_subscribed = false; /* retried at a tick */
       return;
     }
   lc_member__scope (member, &scope);
@@ -150,12 +149,12 @@
   slot->subscribe_at_us = now_us + LC_MEMBER_ASK_AGAIN_MS * LC_US_PER_MS;
 }
 
-/* A node is counted by its first working watcher alone, so that folds don't count it twice.  Every
- * control VM folds for itself, so all of them count. */
+/* Only the first connected watcher counts this member, so that folds don't count it twice.  Every
+ * control VM makes its own fold, so each of them counts it. */
 static bool
 lc_member__counts_here (LcMember *member, uint32_t slot_index)
 {
-  for (uint32_t i = member->first_moving; i < slot_index; i++)
+  for (uint32_t i = member->first_dynamic; i < slot_index; i++)
     if (member->slots[i].is_known && lc_member__link (&member->slots[i]) != NULL)
       return false;
   return true;
@@ -205,7 +204,7 @@
                       lc_member__jitter_us (lc_member__renew_us (member) / 5);
 }
 
-/* Says at once what has changed, instead of with the next renewal. */
+/* Sends renewals at the next tick, so that a change is not delayed by a renewal interval. */
 void
 lc_member__renew_all_soon (LcMember *member)
 {
@@ -220,11 +219,11 @@
 {
   const LcEndpoint *mine = lc_member_endpoint (member);
 
-  if (mine != NULL && mine->instance == member->desc.endpoint.instance && member->seen_us == 0)
-    member->seen_us = now_us;
+  if (mine != NULL && mine->instance == member->desc.endpoint.instance && member->listed_us == 0)
+    member->listed_us = now_us;
 }
 
-/* Each step of what this process believes, and how old control's word for it is. */
+/* Records each revision of the view, and how long ago control confirmed it. */
 static void
 lc_member__log_view (LcMember *member, size_t n_ops, bool is_reset)
 {
@@ -285,7 +284,7 @@
     }
 }
 
-/* Reads the operations of a delta or part; NULL when one of them is malformed. */
+/* Decodes the operations of a delta or snapshot part; NULL when one of them is malformed. */
 static LcViewOp *
 lc_member__read_ops (LcMember *member, Lc__Wire__ViewOp **wire, size_t n_ops)
 {
@@ -370,16 +369,16 @@
     lc_first_view_record_offer (&member->first_view, now_us);
   lc_member_note_revision (member, status->revision);
   slot->is_leader = status->is_leader;
-  slot->stands_by = status->stands_by;
+  slot->is_standby = status->stands_by;
   slot->is_confirmed = status->is_confirmed;
   if (status->is_confirmed)
-    slot->vouched_us = now_us - (int64_t)MIN (status->control_age_ms, INT32_MAX) * LC_US_PER_MS;
-  /* What upstream vouches for is its own revision: older knowledge says nothing of ours. */
+    slot->confirmed_us = now_us - (int64_t)MIN (status->control_age_ms, INT32_MAX) * LC_US_PER_MS;
+  /* The status confirms the upstream's own revision, so an older one doesn't confirm this view. */
   if (status->is_confirmed && status->revision >= member->sync.view.revision)
     {
       int64_t at_us = now_us - (int64_t)MIN (status->control_age_ms, INT32_MAX) * LC_US_PER_MS;
 
-      member->vouched_us = MAX (member->vouched_us, at_us);
+      member->confirmed_us = MAX (member->confirmed_us, at_us);
     }
   if (status->is_confirmed && slot->is_subscribed && member->sync.view.revision > 0)
     member->is_confirmed = true;
@@ -389,7 +388,7 @@
   lc__wire__member_status__free_unpacked (status, NULL);
 }
 
-/* A link to an upstream was made or lost, or it asked to come back later. */
+/* A link to an upstream came up or went down, or a subscription was postponed. */
 static void
 lc_member__log_link (LcMemberSlot *slot, const char *event, const char *why, int64_t after_ms)
 {
@@ -413,7 +412,7 @@
     return;
   slot->is_subscribed = false;
   slot->subscribe_at_us = now_us + (int64_t)retry->after_ms * LC_US_PER_MS;
-  lc_member__log_link (slot, "upstream.retry", "too many ask for its view", retry->after_ms);
+  lc_member__log_link (slot, "upstream.retry", "too many snapshots at once", retry->after_ms);
   lc__wire__member_retry__free_unpacked (retry, NULL);
 }
 
@@ -423,8 +422,8 @@
   LcMemberSlot *slot = user;
   int64_t now_us = lc_clock_now_us ();
 
-  slot->heard_us = now_us;
-  slot->member->heard_us = now_us;
+  slot->last_frame_us = now_us;
+  slot->member->last_frame_us = now_us;
   switch (frame->type)
     {
     case LC_FRAME_MEMBER_STATUS:
@@ -452,14 +451,14 @@
 
   lc_member__log_link (slot, "upstream.up", "", 0);
   slot->is_known = false;
-  slot->stands_by = false;
+  slot->is_standby = false;
   slot->is_subscribed = false;
-  slot->heard_us = 0;
+  slot->last_frame_us = 0;
   slot->opened_us = now_us;
-  slot->vouched_us = now_us;
+  slot->confirmed_us = now_us;
   slot->subscribe_at_us = 0;
   slot->renew_at_us = 0;
-  /* A member that is held says that it listens by a renewal: it is not known, but answered. */
+  /* Before it is registered, a member sends a renewal, which is answered with a status, too. */
   if (slot->member->is_held)
     lc_member__send_renew (slot, LC_MEMBER_PHASE_LIVE, now_us);
   else
--- a/src/controller/lc-member.c
+++ b/src/controller/lc-member.c
@@ -10,10 +10,9 @@
 enum
 {
   LC_MEMBER_TICK_MS = 100,
-  LC_MEMBER_FIRST_TICK_MS =
-      20,                /* while a first view is offered and not taken: a third of its wait */
-  LC_MEMBER_SOON_MS = 2, /* what comes together is acted on together */
-  LC_MEMBER_LEAVE_PATIENCE_MS = 5000, /* a leaving node that hears nobody waits no longer */
+  LC_MEMBER_FIRST_TICK_MS = 20,       /* while a first view is offered: a third of its wait */
+  LC_MEMBER_SOON_MS = 2,              /* batches events that come together */
+  LC_MEMBER_LEAVE_PATIENCE_MS = 5000, /* without a frame, leaving waits no longer */
 };
 
 /* === private: the tick ====================================================================== */
@@ -21,9 +20,9 @@
 static void
 lc_member__note_ramp (LcMember *member, int64_t now_us)
 {
-  if (member->desc.kind != LC_MEMBER_AGENT || member->is_ramped || member->seen_us == 0)
+  if (member->desc.kind != LC_MEMBER_AGENT || member->is_ramped || member->listed_us == 0)
     return;
-  if (now_us - member->seen_us < (int64_t)member->desc.ramp_ms * LC_US_PER_MS)
+  if (now_us - member->listed_us < (int64_t)member->desc.ramp_ms * LC_US_PER_MS)
     return;
   member->is_ramped = true;
   lc_member__renew_all_soon (member);
@@ -134,11 +133,11 @@
   member->desc = *desc;
   member->primary = UINT32_MAX;
   member->is_held = desc->is_held;
-  member->balancers_seen_revision = -1;
+  member->upstreams_revision = -1;
   member->started_us = lc_clock_now_us ();
   member->first_view.started_us = member->started_us;
-  member->first_moving = desc->kind == LC_MEMBER_AGENT ? 0 : LC_CONTROL_VMS_MAX;
-  member->n_slots = member->first_moving + LC_MEMBER_MOVING_SLOTS;
+  member->first_dynamic = desc->kind == LC_MEMBER_AGENT ? 0 : LC_CONTROL_VMS_MAX;
+  member->n_slots = member->first_dynamic + LC_MEMBER_MOVING_SLOTS;
   for (uint32_t i = 0; i < member->n_slots; i++)
     {
       member->slots[i].member = member;
@@ -152,7 +151,7 @@
   lc_upstreams_init (&member->relays, lc_member__name (member));
   lc_member__init_metrics (member);
   lc_member__list_seeds (member);
-  member->desc.upstreams = NULL; /* the caller's array may go */
+  member->desc.upstreams = NULL; /* not valid after this call */
   if (desc->kind == LC_MEMBER_BALANCER)
     lc_member_serve_init (member);
   lc_timer_init (&member->tick, desc->app->loop, lc_member__on_tick, member);
@@ -172,7 +171,7 @@
     {
       LcMemberSlot *slot = &member->slots[i];
 
-      if (member->phase == LC_MEMBER_PHASE_LEAVING && !member->is_kept &&
+      if (member->phase == LC_MEMBER_PHASE_LEAVING && !member->keeps_registration &&
           lc_member__link (slot) != NULL)
         lc_member__send_renew (slot, LC_MEMBER_PHASE_GONE, now_us);
       if (slot->is_open)
@@ -232,17 +231,17 @@
 void
 lc_member_announce (LcMember *member, LcInstance instance, uint8_t slots)
 {
-  bool is_other = member->desc.endpoint.instance != instance;
+  bool is_new_instance = member->desc.endpoint.instance != instance;
 
   member->is_held = false;
   member->desc.endpoint.instance = instance;
   if (slots != 0)
     member->desc.endpoint.slots = slots;
-  if (is_other)
+  if (is_new_instance)
     {
       member->phase = LC_MEMBER_PHASE_LIVE;
       member->is_ramped = false;
-      member->seen_us = 0;
+      member->listed_us = 0;
     }
   lc_member__hello_all (member);
 }
@@ -250,7 +249,7 @@
 void
 lc_member_keep (LcMember *member)
 {
-  member->is_kept = true;
+  member->keeps_registration = true;
 }
 
 static bool
@@ -262,13 +261,13 @@
   return false;
 }
 
-/* Where a new control VM is put: behind the others, or in the place of one that is not there. */
+/* Index for a new control VM: behind the others, or that of one that is unreachable. */
 static uint32_t
 lc_member__seed_place (const LcMember *member, int64_t now_us)
 {
   if (member->n_seeds < LC_CONTROL_VMS_MAX)
     return member->n_seeds;
-  for (uint32_t i = 0; member->desc.kind == LC_MEMBER_BALANCER && i < member->first_moving; i++)
+  for (uint32_t i = 0; member->desc.kind == LC_MEMBER_BALANCER && i < member->first_dynamic; i++)
     if (!lc_member__is_usable (&member->slots[i], now_us))
       return i;
   return 0;
@@ -317,7 +316,7 @@
 int64_t
 lc_member_silence_us (const LcMember *member, int64_t now_us)
 {
-  return member->vouched_us != 0 ? now_us - member->vouched_us : -1;
+  return member->confirmed_us != 0 ? now_us - member->confirmed_us : -1;
 }
 
 bool
@@ -344,7 +343,7 @@
     lc_member_serve_link_down (member, link);
 }
 
-/* Transitions go to the leader where it is known, else to whom the view comes from. */
+/* Transitions go to the leader of control if it is known, else to the source of the view. */
 LcLink *
 lc_member_report_link (LcMember *member, int64_t now_us)
 {
@@ -370,7 +369,7 @@
   if (member->phase != LC_MEMBER_PHASE_LIVE)
     return;
   member->phase = LC_MEMBER_PHASE_LEAVING;
-  member->left_us = lc_clock_now_us ();
+  member->leave_started_us = lc_clock_now_us ();
   lc_member__renew_all_soon (member);
 }
 
@@ -392,21 +391,21 @@
          b->state != LC_BALANCER_ACTIVE;
 }
 
-/* A node that is cut off can't learn that its leaving is in force; it doesn't wait for that. */
+/* Without an upstream the view can't confirm the leaving, so the wait is limited. */
 bool
 lc_member_has_left (const LcMember *member)
 {
   int64_t now_us = lc_clock_now_us ();
-  int64_t patience_us = LC_MEMBER_LEAVE_PATIENCE_MS * LC_US_PER_MS;
+  int64_t timeout_us = LC_MEMBER_LEAVE_PATIENCE_MS * LC_US_PER_MS;
 
   if (member->phase == LC_MEMBER_PHASE_LIVE)
     return false;
   if (lc_member__is_out (member))
     return true;
-  if (now_us - member->left_us < patience_us)
+  if (now_us - member->leave_started_us < timeout_us)
     return false;
   for (uint32_t i = 0; i < member->n_slots; i++)
-    if (now_us - member->slots[i].heard_us < patience_us)
+    if (now_us - member->slots[i].last_frame_us < timeout_us)
       return false;
   return true;
 }
--- a/src/controller/lc-view-server.c
+++ b/src/controller/lc-view-server.c
@@ -12,14 +12,14 @@
 enum
 {
   LC_VIEW_SERVER_MAX_SNAPSHOTS = 16,
-  LC_VIEW_SERVER_SMALL_OPS = 512, /* a delta of so few is never worth a snapshot */
+  LC_VIEW_SERVER_SMALL_OPS = 512, /* a smaller delta is always preferred to a snapshot */
   LC_VIEW_SERVER_BACKLOG_BYTES = 256 << 10,
   LC_VIEW_SERVER_RETRY_MIN_MS = 250,
   LC_VIEW_SERVER_RETRY_STEP_MS = 20,
   LC_VIEW_SERVER_RETRY_MAX_MS = 8000,
 };
 
-/* A snapshot of the whole view, encoded once. */
+/* An encoded snapshot; that of the whole view is shared. */
 struct LcSnapshotCache
 {
   LcRevision revision;
@@ -32,11 +32,11 @@
 {
   LcLink *link;
   LcScope scope;
-  LcRevision scope_revision; /* up to here the scope has seen every operation */
+  LcRevision scope_revision; /* `scope` is resolved up to this revision */
   LcRevision sent_revision;
   LcSnapshotCache *snapshot; /* being sent, or NULL */
   guint next_part;
-  GList *turn; /* its place in LcViewServer.turns */
+  GList *queue_link; /* its element in `scoped_queue` or `whole_queue` */
 } LcSubscriber;
 
 /* === private: snapshots ===================================================================== */
@@ -62,7 +62,7 @@
   g_free (cache);
 }
 
-/* The shared snapshot may be older than the view as long as the history covers the difference. */
+/* The shared snapshot may be older than the view as long as the log covers the difference. */
 static LcSnapshotCache *
 lc_view_server__shared_snapshot (LcViewServer *server, const LcScope *scope)
 {
@@ -71,7 +71,7 @@
   if (server->cache != NULL)
     lc_snapshot_cache__release (server->cache);
   server->cache = lc_snapshot_cache__new (scope, server->desc.view);
-  server->cache->n_users = 1; /* the server itself */
+  server->cache->n_users = 1; /* the server's own reference */
   return server->cache;
 }
 
@@ -97,20 +97,20 @@
 static uint32_t
 lc_view_server__retry_ms (const LcViewServer *server)
 {
-  uint32_t step = server->n_refused_recently * LC_VIEW_SERVER_RETRY_STEP_MS;
+  uint32_t step = server->n_recent_refusals * LC_VIEW_SERVER_RETRY_STEP_MS;
   uint32_t base = LC_VIEW_SERVER_RETRY_MIN_MS + MIN (step, LC_VIEW_SERVER_RETRY_MAX_MS);
 
   return base / 2 + (uint32_t)g_random_int_range (0, (gint32)base);
 }
 
-/* Too many at once: the subscriber is told when to come back, and is forgotten till then. */
+/* Too many snapshots at once: the subscriber is told to retry later, and is removed. */
 static void
 lc_view_server__refuse (LcViewServer *server, LcSubscriber *sub)
 {
   Lc__Wire__MemberRetry message = LC__WIRE__MEMBER_RETRY__INIT;
 
   server->refused_total++;
-  server->n_refused_recently++;
+  server->n_recent_refusals++;
   message.after_ms = lc_view_server__retry_ms (server);
   (void)lc_link_send (sub->link, LC_FRAME_MEMBER_RETRY, &message.base);
 }
@@ -139,7 +139,7 @@
   return true;
 }
 
-/* Sends parts while the link takes them. */
+/* Sends parts until the link's backlog is full. */
 static void
 lc_view_server__send_parts (LcViewServer *server, LcSubscriber *sub)
 {
@@ -183,7 +183,7 @@
 
   if (sub->sent_revision == 0 || !lc_op_log_covers (&server->log, sub->sent_revision))
     return false;
-  /* It was ahead of us when it came: its scope's ids may be of operations that never passed it. */
+  /* It had a newer revision than this server, so its scope may lack ids from those operations. */
   if (sub->scope.is_scoped && sub->scope_revision < sub->sent_revision)
     return false;
   n = lc_view_server__count_wanted (server, sub);
@@ -213,7 +213,7 @@
   return bytes;
 }
 
-/* Subscribers of the whole view are mostly at the same revision: one encoding serves them all. */
+/* Subscribers of the whole view are mostly at the same revision and share one encoding. */
 static GByteArray *
 lc_view_server__delta (LcViewServer *server, LcSubscriber *sub)
 {
@@ -285,23 +285,24 @@
     lc_view_server__arm_after (server, LC_FLUSH_PAUSE_MIN_MS);
 }
 
-/* Who takes the whole view comes first: it serves others. */
+/* Subscribers of the whole view are served first, because they relay it to others. */
 static void
 lc_view_server__take_turn (LcViewServer *server, LcSubscriber *sub)
 {
-  GQueue *turns = sub->scope.is_scoped ? &server->turns : &server->first_turns;
+  GQueue *queue = sub->scope.is_scoped ? &server->scoped_queue : &server->whole_queue;
 
-  g_queue_push_tail (turns, sub);
-  sub->turn = g_queue_peek_tail_link (turns);
+  g_queue_push_tail (queue, sub);
+  sub->queue_link = g_queue_peek_tail_link (queue);
 }
 
 static void
 lc_view_server__leave_turn (LcViewServer *server, LcSubscriber *sub)
 {
-  g_queue_delete_link (sub->scope.is_scoped ? &server->turns : &server->first_turns, sub->turn);
+  g_queue_delete_link (sub->scope.is_scoped ? &server->scoped_queue : &server->whole_queue,
+                       sub->queue_link);
 }
 
-/* Encoded for subscribers and not yet taken by them. */
+/* Encoded for subscribers and not yet read by them. */
 static size_t
 lc_view_server__unsent_bytes (const LcViewServer *server)
 {
@@ -328,7 +329,7 @@
   server->shared_delta = NULL;
 }
 
-/* The encoded snapshot is kept only while somebody needs it. */
+/* Frees the shared snapshot when no subscriber uses it. */
 static void
 lc_view_server__drop_idle_cache (LcViewServer *server)
 {
@@ -338,22 +339,22 @@
   server->cache = NULL;
 }
 
-/* Serves a queue from its head until the slice is spent or each has had a turn. */
+/* Serves a queue from its head until the time slice is over or each was served once. */
 static void
 lc_view_server__serve_turns (LcViewServer *server,
-                             GQueue *turns,
+                             GQueue *queue,
                              size_t *unsent_bytes,
                              int64_t started_us)
 {
-  for (guint n = turns->length; n > 0 && !lc_flush_is_slice_over (started_us, lc_clock_now_us ());
+  for (guint n = queue->length; n > 0 && !lc_flush_is_slice_over (started_us, lc_clock_now_us ());
        n--)
     {
-      LcSubscriber *sub = g_queue_peek_head (turns);
+      LcSubscriber *sub = g_queue_peek_head (queue);
       size_t before = lc_link_backlog_bytes (sub->link);
 
       if (sub->snapshot == NULL && !lc_flush_has_room (*unsent_bytes))
         return;
-      g_queue_push_tail_link (turns, g_queue_pop_head_link (turns));
+      g_queue_push_tail_link (queue, g_queue_pop_head_link (queue));
       if (!lc_view_server__serve (server, sub))
         {
           lc_view_server__leave_turn (server, sub);
@@ -385,10 +386,10 @@
   size_t unsent_bytes = lc_view_server__unsent_bytes (server);
 
   server->is_flush_armed = false;
-  lc_view_server__serve_turns (server, &server->first_turns, &unsent_bytes, started_us);
-  lc_view_server__serve_turns (server, &server->turns, &unsent_bytes, started_us);
+  lc_view_server__serve_turns (server, &server->whole_queue, &unsent_bytes, started_us);
+  lc_view_server__serve_turns (server, &server->scoped_queue, &unsent_bytes, started_us);
   lc_view_server__drop_shared (server);
-  server->n_refused_recently -= server->n_refused_recently / 16;
+  server->n_recent_refusals -= server->n_recent_refusals / 16;
   if (lc_view_server__is_anybody_waiting (server))
     lc_view_server__arm_after (server, lc_flush_pause_ms (lc_clock_now_us () - started_us));
   else
@@ -407,7 +408,7 @@
   lc_op_log_init (&server->log, desc->max_ops);
   lc_op_log_reset (&server->log, desc->view->revision);
   server->subscribers = g_hash_table_new_full (NULL, NULL, NULL, g_free);
-  server->unserved = g_hash_table_new (NULL, NULL);
+  server->waiting = g_hash_table_new (NULL, NULL);
   lc_timer_init (&server->flush, desc->loop, lc_view_server__on_flush, server);
 }
 
@@ -423,10 +424,10 @@
   g_hash_table_iter_init (&iter, server->subscribers);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     lc_view_server__end_snapshot (server, value);
-  g_queue_clear (&server->first_turns);
-  g_queue_clear (&server->turns);
+  g_queue_clear (&server->whole_queue);
+  g_queue_clear (&server->scoped_queue);
   g_hash_table_destroy (server->subscribers);
-  g_hash_table_destroy (server->unserved);
+  g_hash_table_destroy (server->waiting);
   server->subscribers = NULL;
   lc_view_server__drop_idle_cache (server);
   lc_view_server__drop_shared (server);
@@ -458,7 +459,7 @@
 lc_view_server_greeted (LcViewServer *server, LcLink *link)
 {
   if (server->desc.view->revision == 0)
-    (void)g_hash_table_add (server->unserved, link);
+    (void)g_hash_table_add (server->waiting, link);
 }
 
 void
@@ -467,10 +468,10 @@
   gpointer *links;
   guint n;
 
-  if (g_hash_table_size (server->unserved) == 0)
+  if (g_hash_table_size (server->waiting) == 0)
     return;
-  links = g_hash_table_get_keys_as_array (server->unserved, &n);
-  g_hash_table_remove_all (server->unserved);
+  links = g_hash_table_get_keys_as_array (server->waiting, &n);
+  g_hash_table_remove_all (server->waiting);
   for (guint i = 0; i < n; i++)
     if (server->desc.first_view != NULL)
       server->desc.first_view (server->desc.user, links[i]);
@@ -515,7 +516,7 @@
 {
   LcSubscriber *sub = g_hash_table_lookup (server->subscribers, link);
 
-  (void)g_hash_table_remove (server->unserved, link);
+  (void)g_hash_table_remove (server->waiting, link);
   if (sub == NULL)
     return;
   lc_view_server__end_snapshot (server, sub);
--- a/src/controller/lc-view-server.h
+++ b/src/controller/lc-view-server.h
@@ -1,24 +1,24 @@
-/* lc-view-server: serves the view to subscribers.
+/* lc-view-server: replicates the view to subscribers, by deltas or snapshots.
  *
  * WHAT IT IS
- *   What a relay and control have in common: a bounded history of operations, one record a
- *   subscriber, and for each of them a delta or a snapshot, whichever is smaller.  A snapshot of
- * the whole view is encoded once and shared by all who need one; while it is being sent the view
- * may move on, and the delta after it brings the subscriber up to date.
+ *   Used by relays and by control: a bounded log of operations, a record per subscriber, and for
+ *   each a delta or a snapshot, whichever is smaller.  A snapshot of the whole view is encoded once
+ *   and shared; when the view changes while it is being sent, a delta follows it.
  *
  * HOW TO USE IT
  *     lc_view_server_init (&server, &desc);
- *     lc_view_server_subscribe (&server, link, from_revision, &scope, now_us);
+ *     lc_view_server_subscribe (&server, link, from_revision, &scope);
  *     lc_view_server_publish (&server, ops, n_ops);    after they were applied to the view
  *     lc_view_server_reset (&server);                  after the view was replaced
- *     lc_view_server_greeted (&server, link);          before there is a view: desc.first_view
- * later lc_view_server_link_down (&server, link); lc_view_server_finish (&server);
+ *     lc_view_server_greeted (&server, link);          while there is no view: see first_view
+ *     lc_view_server_link_down (&server, link);
+ *     lc_view_server_finish (&server);
  *
  * LIMITS
- *   At most max_snapshots shared snapshots are on their way at once; a further subscriber is told
- *   when to come back.  A subscriber whose link has much unsent gets the rest later, and so does
- *   everybody while all links together have much unsent, or while serving would take more than its
- *   share of the process's time (lc-flush-pace.h).  Subscribers take turns.
+ *   At most max_snapshots shared snapshots are being sent at once; a further subscriber is told to
+ *   retry later.  Sending pauses for a subscriber whose link has a large backlog, and for all while
+ *   their backlogs together or the time spent on serving exceed the limits of lc-flush-pace.h.
+ *   Subscribers are served round-robin.
  *
  * THREADS
  *   Everything on the loop's thread.
@@ -36,11 +36,10 @@
   h2o_loop_t *loop;
   const LcView *view;
   uint32_t max_snapshots; /* 0: 16 */
-  size_t max_ops;         /* of the history; 0: see lc-op-log */
+  size_t max_ops;         /* capacity of the log; 0: see lc-op-log */
   void *user;
-  /* There is a view now, or other news, and this link was greeted before: a member that waits for a
-   * view hears at once what it may expect here, not with its next renewal a second later.  May be
-   * NULL. */
+  /* Called for each waiting link when there is a view or lc_view_server_tell_waiting is called, so
+   * that a member need not wait for its next renewal a second later.  May be NULL. */
   void (*first_view) (void *user, LcLink *link);
 } LcViewServerDesc;
 
@@ -50,17 +49,17 @@
 {
   LcViewServerDesc desc;
   LcOpLog log;
-  GHashTable *subscribers; /* LcLink -> private record */
-  GHashTable *unserved;    /* set of LcLink: greeted while there was no view */
+  GHashTable *subscribers; /* LcLink -> LcSubscriber */
+  GHashTable *waiting;     /* set of LcLink that wait for a view */
   LcSnapshotCache *cache;  /* newest encoded snapshot, or NULL */
-  GQueue first_turns; /* LcSubscriber of the whole view, in the order in which they are served */
-  GQueue turns;       /* the others, after them */
+  GQueue whole_queue;      /* LcSubscriber of the whole view, served first: they relay it */
+  GQueue scoped_queue;     /* LcSubscriber of a part of it */
   LcTimer flush;
   bool is_flush_armed;
-  GByteArray *shared_delta; /* of one flush, for subscribers at the same revision */
+  GByteArray *shared_delta; /* within a flush, for subscribers at the same revision */
   LcRevision shared_from;
   uint32_t n_snapshots; /* being sent */
-  uint32_t n_refused_recently;
+  uint32_t n_recent_refusals;
   uint64_t deltas_total;
   uint64_t delta_ops_total;
   uint64_t snapshots_total;
@@ -76,9 +75,9 @@
                                const LcScope *scope);
 void lc_view_server_publish (LcViewServer *server, const LcViewOp *ops, size_t n_ops);
 void lc_view_server_reset (LcViewServer *server);
-/* A member on this link was told which revision is served here. */
+/* Adds a link that waits for a view; no effect when there is one. */
 void lc_view_server_greeted (LcViewServer *server, LcLink *link);
-/* Calls `first_view` now for each link that was greeted while there was no view. */
+/* Calls `first_view` for each waiting link, once. */
 void lc_view_server_tell_waiting (LcViewServer *server);
 void lc_view_server_link_down (LcViewServer *server, LcLink *link);
 
