--- a/src/balancer/lc-balancer-agents.c
+++ b/src/balancer/lc-balancer-agents.c
@@ -107,7 +107,7 @@
       lc__request__answer_body__unpack (NULL, frame->payload_len, frame->payload);
   LcAttemptRef ref;
   LcIncoming *incoming;
-  bool is_good;
+  bool is_valid;
 
   if (part == NULL)
     {
@@ -116,9 +116,9 @@
     }
   ref = (LcAttemptRef){ { part->id_hi, part->id_lo }, part->attempt, peer->link_id };
   incoming = g_hash_table_lookup (plane->incoming, &ref);
-  is_good = incoming != NULL && lc_balancer_request__add_part (incoming, part);
+  is_valid = incoming != NULL && lc_balancer_request__add_part (incoming, part);
   lc__request__answer_body__free_unpacked (part, NULL);
-  if (incoming == NULL || (is_good && incoming->body->len < incoming->head->body_length))
+  if (incoming == NULL || (is_valid && incoming->body->len < incoming->head->body_length))
     return;
   plane->incoming_bytes -= incoming->head->body_length;
   g_hash_table_steal (plane->incoming, &ref);
@@ -203,7 +203,7 @@
   lc_balancer_request__act (peer->plane);
 }
 
-/* The endpoint that this link is for, as the view has it now, or NULL. */
+/* This link's endpoint in the current view, or NULL. */
 static const LcEndpoint *
 lc_balancer_request__endpoint (const LcBalancerPeer *peer, const LcView *view)
 {
@@ -271,7 +271,7 @@
 lc_balancer_request__peer (LcBalancerRequest *plane, LcEndpointId id, uint32_t ipv4, uint16_t port)
 {
   uint64_t key = lc_address_pack (ipv4, port);
-  LcBalancerPeer *peer = g_hash_table_lookup (plane->peers, &key);
+  LcBalancerPeer *peer = g_hash_table_lookup (plane->agents, &key);
   LcLinkClientDesc desc = { .loop = plane->desc.app->loop,
                             .ipv4 = ipv4,
                             .port = port,
@@ -289,12 +289,12 @@
   peer->port = port;
   desc.handler = (LcLinkHandler){ peer, lc_balancer_request__on_frame, lc_balancer_request__on_up,
                                   lc_balancer_request__on_down };
-  g_hash_table_insert (plane->peers, g_memdup2 (&key, sizeof key), peer);
+  g_hash_table_insert (plane->agents, g_memdup2 (&key, sizeof key), peer);
   lc_link_client_init (&peer->client, &desc);
   return peer;
 }
 
-/* Links are made when a request first needs them, and kept while the endpoint is in the view. */
+/* Links are opened when a request first needs them, and kept while the view has the endpoint. */
 static gboolean
 lc_balancer_request__is_unused (gpointer key, gpointer value, gpointer user)
 {
@@ -304,5 +304,5 @@
 void
 lc_balancer_request__drop_peers (LcBalancerRequest *plane, const LcView *view)
 {
-  g_hash_table_foreach_remove (plane->peers, lc_balancer_request__is_unused, (gpointer)view);
+  g_hash_table_foreach_remove (plane->agents, lc_balancer_request__is_unused, (gpointer)view);
 }
--- a/src/balancer/lc-balancer-flow.c
+++ b/src/balancer/lc-balancer-flow.c
@@ -7,8 +7,8 @@
 
 enum
 {
-  LC_BALANCER_FLOW_TICK_MS = 50,    /* of probes */
-  LC_BALANCER_FLOW_PROBES_MAX = 64, /* sent at one tick; the others come at the next */
+  LC_BALANCER_FLOW_TICK_MS = 50,    /* probe interval */
+  LC_BALANCER_FLOW_PROBES_MAX = 64, /* per tick; the others follow at the next */
   LC_BALANCER_FLOW_REACH_LOG_PER_S = 10,
 };
 
@@ -39,7 +39,7 @@
   lc_flow_log (&plane->log, &line, now_us);
 }
 
-/* A first packet: where it goes, by which view, and whether some agents are passed over. */
+/* Logs a first packet: its agent, the view's revision, and whether suspects are passed over. */
 static void
 lc_balancer_flow__log_steered (LcBalancerFlow *plane, const LcPacket *packet, const LcCandidate *to)
 {
@@ -59,8 +59,8 @@
   return (LcPacketFormat)plane->desc.settings->packet_format;
 }
 
-/* Tells the caller at once that its first packet leads nowhere.  A copy of it is left unanswered:
- * the flow may have been opened by the one before. */
+/* Rejects a flow whose first packet can't be forwarded, so that the caller need not time out.  A
+ * copy of it gets no reset, since the flow may have been opened by an earlier copy. */
 static void
 lc_balancer_flow__reset (LcBalancerFlow *plane, const LcPacket *packet)
 {
@@ -93,13 +93,13 @@
   if (lc_packet_is_first (packet))
     lc_balancer_flow__log_steered (plane, packet, &to);
   if (plane->balancer.is_returning)
-    lc_probe_detector_record_use (&plane->reach, &to, lc_clock_now_us ());
+    lc_probe_detector_record_use (&plane->probes, &to, lc_clock_now_us ());
   (void)lc_datagram_send (&plane->port, to.ipv4, to.port, header,
                           lc_envelope_encode (&envelope, header, sizeof header), bytes,
                           packet->total_len);
 }
 
-/* Before the first view nothing is known, not even that an address has no service. */
+/* Without a view an unknown address can't be told from one that has no service. */
 static bool
 lc_balancer_flow__has_view (const LcBalancerFlow *plane)
 {
@@ -119,27 +119,27 @@
   else if (lc_balancer_flow__has_view (plane))
     lc_balancer_flow__steer (plane, bytes, &packet);
   else
-    lc_packet_buffer_put (&plane->hold, bytes, len, lc_clock_now_us ());
+    lc_packet_buffer_put (&plane->buffer, bytes, len, lc_clock_now_us ());
 }
 
-/* What came before the first view is steered by it. */
+/* Steers the packets that were buffered before the first view. */
 static void
 lc_balancer_flow__steer_held (LcBalancerFlow *plane)
 {
-  uint64_t n_held = plane->hold.held_total;
-  uint32_t n_late = 0;
+  uint64_t n_held = plane->buffer.held_total;
+  uint32_t n_steered = 0;
   LcBufferedPacket *held;
 
-  if (plane->hold.packets == NULL || !lc_balancer_flow__has_view (plane))
+  if (plane->buffer.packets == NULL || !lc_balancer_flow__has_view (plane))
     return;
-  while ((held = lc_packet_buffer_take (&plane->hold, lc_clock_now_us ())) != NULL)
+  while ((held = lc_packet_buffer_take (&plane->buffer, lc_clock_now_us ())) != NULL)
     {
       lc_balancer_flow__take_packet (plane, held->bytes, held->len, 0, 0);
-      n_late++;
+      n_steered++;
     }
   lc_datagram_flush (&plane->port);
-  LC_INFO ("flow.held-steered", "held", LC_U64 (n_held), "steered", LC_U64 (n_late), "too_old",
-           LC_U64 (plane->hold.dropped_total));
+  LC_INFO ("flow.held-steered", "held", LC_U64 (n_held), "steered", LC_U64 (n_steered), "too_old",
+           LC_U64 (plane->buffer.dropped_total));
 }
 
 static void
@@ -148,7 +148,7 @@
   LcBalancerFlow *plane = user;
 
   if (lc_envelope_kind (bytes, len) == LC_ENVELOPE_PROBE_ANSWER)
-    lc_probe_detector_record_answer (&plane->reach, ipv4, port, lc_clock_now_us ());
+    lc_probe_detector_record_answer (&plane->probes, ipv4, port, lc_clock_now_us ());
   else
     lc_balancer_flow__take_packet (plane, bytes, len, ipv4, port);
 }
@@ -162,12 +162,12 @@
 }
 
 static void
-lc_balancer_flow__note_alone (LcBalancerFlow *plane, bool is_alone)
+lc_balancer_flow__note_alone (LcBalancerFlow *plane, bool is_isolated)
 {
-  if (plane->is_alone == is_alone)
+  if (plane->is_isolated == is_isolated)
     return;
-  plane->is_alone = is_alone;
-  if (is_alone)
+  plane->is_isolated = is_isolated;
+  if (is_isolated)
     LC_WARN ("flow.cut-off", "meaning", LC_STR ("no agent answers: not ready"), "remedy",
              LC_STR ("check the network between this balancer and the agents"));
   else
@@ -179,30 +179,30 @@
 {
   LcProbeDetectorChange change;
 
-  while (lc_probe_detector_next_change (&plane->reach, now_us, &change))
-    if (lc_log_allow (&plane->reach_limit, now_us, LC_BALANCER_FLOW_REACH_LOG_PER_S))
+  while (lc_probe_detector_next_change (&plane->probes, now_us, &change))
+    if (lc_log_allow (&plane->probe_log_limit, now_us, LC_BALANCER_FLOW_REACH_LOG_PER_S))
       LC_INFO (change.is_suspect ? "agent.suspect" : "agent.answers", "ipv4",
                LC_U64 (change.address.ipv4), "port", LC_U64 (change.address.port), "silent_ms",
                LC_I64 (change.silent_us / LC_US_PER_MS), "left_out",
-               LC_U64 (plane->reach_limit.suppressed_total));
+               LC_U64 (plane->probe_log_limit.suppressed_total));
 }
 
-/* Agents that are in use are asked whether they are there. */
+/* Probes the agents in use, and passes over those that don't answer. */
 static void
 lc_balancer_flow__probe (LcBalancerFlow *plane, int64_t now_us)
 {
   LcProbeDetectorAddress due[LC_BALANCER_FLOW_PROBES_MAX];
   uint32_t n =
-      lc_probe_detector_next_probes (&plane->reach, now_us, due, LC_BALANCER_FLOW_PROBES_MAX);
+      lc_probe_detector_next_probes (&plane->probes, now_us, due, LC_BALANCER_FLOW_PROBES_MAX);
   uint8_t bytes[LC_ENVELOPE_PREFIX_BYTES];
 
   lc_envelope_encode_prefix (bytes, LC_ENVELOPE_PROBE);
   for (uint32_t i = 0; i < n; i++)
     (void)lc_datagram_send (&plane->port, due[i].ipv4, due[i].port, bytes, sizeof bytes, NULL, 0);
   lc_datagram_flush (&plane->port);
-  lc_flow_balancer_mark_suspects (&plane->balancer, &plane->reach, now_us);
+  lc_flow_balancer_mark_suspects (&plane->balancer, &plane->probes, now_us);
   lc_balancer_flow__note_reach (plane, now_us);
-  lc_balancer_flow__note_alone (plane, lc_probe_detector_is_isolated (&plane->reach, now_us));
+  lc_balancer_flow__note_alone (plane, lc_probe_detector_is_isolated (&plane->probes, now_us));
 }
 
 static void
@@ -239,10 +239,10 @@
                      "First packets that led nowhere and were answered so", NULL,
                      &plane->reset_total);
   lc_flow_meter_add (&plane->meter, metrics, "lychee_flow_held_total",
-                     "Packets that came before the first view", NULL, &plane->hold.held_total);
+                     "Packets that came before the first view", NULL, &plane->buffer.held_total);
   lc_flow_meter_add (&plane->meter, metrics, "lychee_flow_suspected_total",
                      "Times that an agent left a probe unanswered", NULL,
-                     &plane->reach.suspected_total);
+                     &plane->probes.suspected_total);
   lc_flow_meter_add_drops (&plane->meter, metrics, plane->dropped_total);
 }
 
@@ -271,7 +271,7 @@
   plane->desc = *desc;
   plane->log.is_shared = desc->settings->http_port != 0;
   lc_flow_balancer_init (&plane->balancer, 0);
-  lc_probe_detector_init (&plane->reach);
+  lc_probe_detector_init (&plane->probes);
   lc_flow_balancer_set_returning (&plane->balancer,
                                   lc_packet_format_is_returning (lc_balancer_flow__format (plane)));
   r = lc_datagram_init (&plane->port, &port, error);
@@ -289,8 +289,8 @@
   lc_timer_finish (&plane->timer);
   lc_datagram_finish (&plane->port);
   lc_flow_balancer_finish (&plane->balancer);
-  lc_packet_buffer_finish (&plane->hold);
-  lc_probe_detector_finish (&plane->reach);
+  lc_packet_buffer_finish (&plane->buffer);
+  lc_probe_detector_finish (&plane->probes);
 }
 
 void
@@ -310,7 +310,7 @@
 {
   (void)plane;
   (void)frame;
-  lc_link_close (link, "the flow plane talks over UDP");
+  lc_link_close (link, "the flow plane accepts UDP only");
 }
 
 void
@@ -324,14 +324,14 @@
 lc_balancer_flow_drain (LcBalancerFlow *plane)
 {
   plane->is_draining = true;
-  plane->hold_until_us =
+  plane->drain_until_us =
       lc_clock_now_us () + (int64_t)plane->desc.settings->drain_hold_ms * LC_US_PER_MS;
 }
 
 bool
 lc_balancer_flow_is_alone (const LcBalancerFlow *plane)
 {
-  return plane->is_alone;
+  return plane->is_isolated;
 }
 
 bool
@@ -339,6 +339,6 @@
 {
   int64_t now_us = lc_clock_now_us ();
 
-  return now_us >= plane->hold_until_us &&
+  return now_us >= plane->drain_until_us &&
          now_us - plane->last_packet_us >= LC_BALANCER_FLOW_QUIET_US;
 }
--- a/src/balancer/lc-balancer-flow.h
+++ b/src/balancer/lc-balancer-flow.h
@@ -1,13 +1,13 @@
-/* lc-balancer-flow: the flow plane of a balancer: steers packets from the fabric.
+/* lc-balancer-flow: the flow plane of a balancer, a stateless packet forwarder.
  *
  * WHAT IT IS
- *   The thin task around lc-flow-balancer: one UDP port.  A datagram from the fabric is a caller's
- *   IPv4 packet; it goes to an agent with an envelope before it.  No state of any flow is kept, so
- *   a planned stop has nothing to hand over and a sudden death loses only packets under way.
+ *   The I/O around lc-flow-balancer: one UDP port.  A datagram from the fabric is a caller's IPv4
+ *   packet, which is sent on to an agent behind an envelope.  There is no state per flow, so a
+ *   planned stop has nothing to hand over and a crash loses only packets in transit.
  *
  * PLANNED STOP
- *   The plane steers on while the fabric still sends; it is idle once no packet came for
- *   LC_BALANCER_FLOW_QUIET_US.
+ *   Forwarding goes on while the fabric still sends; the plane is idle after
+ *   LC_BALANCER_FLOW_QUIET_US without a packet.
  *
  * THREADS
  *   Called on app->loop's thread.
@@ -39,32 +39,32 @@
   LcBalancerFlowDesc desc;
   LcFlowBalancer balancer;
   LcDatagram port;
-  LcProbeDetector reach;
-  LcPacketBuffer hold;
+  LcProbeDetector probes;
+  LcPacketBuffer buffer;
   LcTimer timer;
   LcFlowMeter meter;
   int64_t last_packet_us;
   bool is_draining;
-  bool is_alone;         /* no agent answers its probes */
-  int64_t hold_until_us; /* a planned stop steers until then, and until it is quiet */
+  bool is_isolated;       /* no agent answers probes */
+  int64_t drain_until_us; /* a planned stop forwards at least until then */
   uint64_t reset_total;
   uint64_t steered_total;
   uint64_t dropped_total[LC_N_DROP_REASONS];
   LcFlowLog log;
-  LcLogLimit reach_limit;
+  LcLogLimit probe_log_limit;
 } LcBalancerFlow;
 
 int lc_balancer_flow_init (LcBalancerFlow *plane, const LcBalancerFlowDesc *desc, LcError *error);
 void lc_balancer_flow_finish (LcBalancerFlow *plane);
-/* After each batch of operations; `is_reset` says that the whole view was replaced. */
+/* After each batch of operations, or with `is_reset` after the view was replaced. */
 void lc_balancer_flow_view (
     LcBalancerFlow *plane, const LcView *view, const LcViewOp *ops, size_t n_ops, bool is_reset);
-/* A frame of this plane's range that the peer server received. */
+/* Closes the link: this plane has no frames. */
 void lc_balancer_flow_frame (LcBalancerFlow *plane, LcLink *link, const LcFrame *frame);
 void lc_balancer_flow_link_down (LcBalancerFlow *plane, LcLink *link);
-/* A planned stop begins: take nothing new, let what runs end. */
+/* Begins a planned stop. */
 void lc_balancer_flow_drain (LcBalancerFlow *plane);
-/* Whether it can't serve because no agent answers it. */
+/* Whether no agent answers probes, so that nothing can be forwarded. */
 bool lc_balancer_flow_is_alone (const LcBalancerFlow *plane);
 bool lc_balancer_flow_is_idle (const LcBalancerFlow *plane);
 
--- a/src/balancer/lc-balancer-request-private.h
+++ b/src/balancer/lc-balancer-request-private.h
@@ -1,8 +1,8 @@
-/* lc-balancer-request-private: what the parts of lc-balancer-request share.
+/* lc-balancer-request-private: shared by the source files of lc-balancer-request; not for others.
  *
  * WHAT IT IS
- *   lc-balancer-request.c   callers, actions, time
- *   lc-balancer-agents.c    links to agents, and what comes in on them
+ *   lc-balancer-request.c   callers, actions, timers
+ *   lc-balancer-agents.c    links to agents and the frames that they send
  */
 #ifndef LC_BALANCER_REQUEST_PRIVATE_H
 #define LC_BALANCER_REQUEST_PRIVATE_H
@@ -23,28 +23,28 @@
 #define LC_BALANCER_POLL_EVERY_US (50 * LC_US_PER_MS)
 #define LC_BALANCER_SHOW_EVERY_US LC_US_PER_S
 
-/* The link to one agent. */
+/* The link to an agent. */
 typedef struct
 {
   LcBalancerRequest *plane;
   LcLinkClient client;
-  uint64_t link_id; /* of the present connection, unique in this process; 0: none */
+  uint64_t link_id; /* of the current connection, unique in this process; 0: none */
   LcEndpointId endpoint_id;
   uint32_t ipv4;
   uint16_t port;
 } LcBalancerPeer;
 
-/* One caller that waits; lives in the h2o request's pool. */
+/* A caller's request in flight; allocated in the h2o request's pool. */
 typedef struct
 {
   LcBalancerRequest *plane;
   h2o_req_t *req;
   LcFilterRequest request;
   LcServiceId service_id;
-  uint64_t flight_id; /* 0: nothing is decided any more */
+  uint64_t flight_id; /* 0: answered or refused */
 } LcBalancerCall;
 
-/* An answer in parts. */
+/* An answer that is being received. */
 typedef struct
 {
   LcAttemptRef ref;
--- a/src/balancer/lc-balancer-request.c
+++ b/src/balancer/lc-balancer-request.c
@@ -8,7 +8,7 @@
   return g_hash_table_lookup (plane->calls, &flight_id);
 }
 
-/* `line` brings what is said besides the request's own ids. */
+/* Adds the request's ids to `line` and logs it. */
 static void
 lc_balancer_request__log (LcBalancerRequest *plane,
                           LcRequestLogKind kind,
@@ -29,7 +29,7 @@
   lc_request_log (&plane->log, &line, now_us);
 }
 
-/* h2o disposes of the request: answered, or its connection is gone. */
+/* h2o frees the request: it was answered, or its connection was closed. */
 static void
 lc_balancer_request__on_dispose (void *data)
 {
@@ -55,11 +55,11 @@
   return took_us <= objective_ms * LC_US_PER_MS ? LC_BURN_GOOD : LC_BURN_LATE;
 }
 
-/* Takes the call out of the table: it is about to be answered. */
+/* Removes a call that is about to be answered, and counts it; `failure`: its outcome, or NULL. */
 static LcBalancerCall *
 lc_balancer_request__close_call (LcBalancerRequest *plane,
                                  uint64_t flight_id,
-                                 const LcOutcome *lost)
+                                 const LcOutcome *failure)
 {
   LcBalancerCall *call = lc_balancer_request__call (plane, flight_id);
   int64_t took_us;
@@ -72,11 +72,11 @@
   g_hash_table_remove (plane->calls, &flight_id);
   call->flight_id = 0;
   lc_metric_observe_us (plane->latency, took_us);
-  if (s != NULL && lost == NULL)
+  if (s != NULL && failure == NULL)
     lc_burn_add (&plane->desc.app->burn, s->name, lc_balancer_request__burn (s, took_us), 1);
   else if (s != NULL)
     lc_burn_add (&plane->desc.app->burn, s->name,
-                 *lost == LC_OUTCOME_NOT_RUN ? LC_BURN_REFUSED : LC_BURN_UNKNOWN, 1);
+                 *failure == LC_OUTCOME_NOT_RUN ? LC_BURN_REFUSED : LC_BURN_UNKNOWN, 1);
   return call;
 }
 
@@ -102,7 +102,7 @@
              incoming->head->body_checksum;
 }
 
-/* All parts are here, or one did not fit. */
+/* Completes an answer: all its parts were received, or one was invalid. */
 void
 lc_balancer_request__end_incoming (LcBalancerRequest *plane, LcIncoming *incoming)
 {
@@ -140,9 +140,9 @@
                                                 .left_us = action->send.left_us });
   lc_request_balancer_handle_sent (&plane->core, action->flight_id, action->send.number,
                                    peer->link_id);
-  /* A link that can't take it all is closed, so the agent never sees a part as the whole. */
+  /* Closes the link, so that the agent never runs a truncated request. */
   if (lc_caller_send_attempt (link, call->req, &call->request, action) < 0)
-    lc_link_close (link, "an attempt could not be sent whole");
+    lc_link_close (link, "an attempt was sent only in part");
 }
 
 static gboolean
@@ -156,7 +156,7 @@
 {
   uint64_t link_id = action->cancel.link_id;
   LcBalancerPeer *peer =
-      g_hash_table_find (plane->peers, lc_balancer_request__has_link_id, &link_id);
+      g_hash_table_find (plane->agents, lc_balancer_request__has_link_id, &link_id);
   Lc__Request__Cancel message = LC__REQUEST__CANCEL__INIT;
 
   if (peer == NULL || link_id == 0)
@@ -194,25 +194,25 @@
       lc_balancer_request__cancel (plane, action);
       break;
     case LC_BALANCER_ANSWER:
-      break; /* given by whoever brought it in */
+      break; /* sent by lc_balancer_request__end_incoming */
     case LC_BALANCER_FAIL:
       lc_balancer_request__fail (plane, action);
       break;
     }
 }
 
-/* Carrying an action out may bring more: only the outermost call takes them. */
+/* An action may queue further ones; only the outermost call runs them. */
 void
 lc_balancer_request__act (LcBalancerRequest *plane)
 {
   LcBalancerAction action;
 
-  if (plane->is_busy)
+  if (plane->is_acting)
     return;
-  plane->is_busy = true;
+  plane->is_acting = true;
   while (lc_request_balancer_next_action (&plane->core, &action))
     lc_balancer_request__act_one (plane, &action);
-  plane->is_busy = false;
+  plane->is_acting = false;
 }
 
 /* === private: callers ======================================================================= */
@@ -247,9 +247,9 @@
   return 0;
 }
 
-/* === private: time ========================================================================== */
+/* === private: timer ========================================================================= */
 
-/* h2o does not read while a request is handled, so a caller that hangs up is looked for. */
+/* h2o doesn't read while a request is handled, so closed connections are detected by polling. */
 static void
 lc_balancer_request__poll_callers (LcBalancerRequest *plane)
 {
@@ -295,8 +295,8 @@
 
   for (size_t i = 0; i < LC_BALANCER_REQUEST_METRICS; i++)
     {
-      lc_metric_add (plane->metrics[i], values[i] - plane->shown[i]);
-      plane->shown[i] = values[i];
+      lc_metric_add (plane->metrics[i], values[i] - plane->counted[i]);
+      plane->counted[i] = values[i];
     }
 }
 
@@ -314,9 +314,9 @@
       lc_balancer_request__poll_callers (plane);
       lc_balancer_request__act (plane);
     }
-  if (now_us - plane->shown_us >= LC_BALANCER_SHOW_EVERY_US)
+  if (now_us - plane->metrics_us >= LC_BALANCER_SHOW_EVERY_US)
     {
-      plane->shown_us = now_us;
+      plane->metrics_us = now_us;
       lc_balancer_request__show_metrics (plane);
     }
   lc_timer_start (&plane->timer, LC_BALANCER_TICK_MS);
@@ -363,7 +363,7 @@
   if (r < 0)
     return r;
   lc_request_balancer_init (&plane->core, &core);
-  plane->peers =
+  plane->agents =
       g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, lc_balancer_request__peer_free);
   plane->calls = g_hash_table_new (g_int64_hash, g_int64_equal);
   plane->incoming =
@@ -379,8 +379,8 @@
 lc_balancer_request_finish (LcBalancerRequest *plane)
 {
   lc_timer_finish (&plane->timer);
-  plane->is_busy = true; /* nothing is carried out any more */
-  g_hash_table_destroy (plane->peers);
+  plane->is_acting = true; /* no action runs any more */
+  g_hash_table_destroy (plane->agents);
   g_hash_table_destroy (plane->incoming);
   lc_http_finish (&plane->http);
   g_hash_table_destroy (plane->calls);
@@ -400,7 +400,6 @@
 void
 lc_balancer_request_frame (LcBalancerRequest *plane, LcLink *link, const LcFrame *frame)
 {
-  /* Agents answer on the links that balancers open. */
   lc_balancer_request__malformed (plane, link, frame->type);
 }
 
--- a/src/balancer/lc-balancer-request.h
+++ b/src/balancer/lc-balancer-request.h
@@ -1,16 +1,16 @@
-/* lc-balancer-request: the request plane of a balancer: HTTP from callers to agents.
+/* lc-balancer-request: the request plane of a balancer, an HTTP reverse proxy in front of agents.
  *
  * WHAT IT IS
- *   The task around lc-request-balancer: an h2o listener towards callers, links to the agents that
- *   it sends to.  A request is taken whole before it is decided on; an answer is whole, and its
- *   checksum checked, before its first byte goes to the caller.  The contract with callers is in
- *   docs/CALLERS.md.
+ *   The I/O around lc-request-balancer: an h2o listener for callers, and links to agents.  Requests
+ *   are buffered whole before an agent is selected.  Answers are buffered whole, and their checksum
+ *   verified, before the first byte is sent to the caller.  docs/CALLERS.md is the contract with
+ *   callers.
  *
  * THREADS
  *   Called on app->loop's thread.
  *
  * LIMITS
- *   A request body has at most 1 MiB, an answer LC_REQUEST_MAX_BODY.
+ *   1 MiB for a request's body, LC_REQUEST_MAX_BODY for an answer's.
  */
 #ifndef LC_BALANCER_REQUEST_H
 #define LC_BALANCER_REQUEST_H
@@ -38,22 +38,22 @@
   LcBalancerRequestDesc desc;
   LcRequestBalancer core;
   LcHttp http;
-  GHashTable *peers;    /* packed (ipv4, port) -> private link to an agent */
-  GHashTable *calls;    /* flight id -> private call of a caller */
-  GHashTable *incoming; /* answers whose body is still coming */
+  GHashTable *agents;   /* packed (ipv4, port) -> LcBalancerPeer */
+  GHashTable *calls;    /* flight id -> LcBalancerCall */
+  GHashTable *incoming; /* LcAttemptRef -> LcIncoming */
   uint64_t incoming_bytes;
   uint64_t next_link_id;
-  uint32_t n_calls; /* callers that are not answered to the last byte */
+  uint32_t n_calls; /* callers whose answer is not fully written */
   LcTimer timer;
   int64_t polled_us;
-  int64_t shown_us;
+  int64_t metrics_us;
   LcMetric *metrics[LC_BALANCER_REQUEST_METRICS];
-  uint64_t shown[LC_BALANCER_REQUEST_METRICS];
+  uint64_t counted[LC_BALANCER_REQUEST_METRICS];
   LcMetric *latency;
   uint64_t malformed_total;
   LcLogLimit log_limit;
   LcRequestLog log;
-  bool is_busy; /* actions are being carried out */
+  bool is_acting; /* lc_balancer_request__act is running */
   bool is_draining;
 } LcBalancerRequest;
 
@@ -61,13 +61,13 @@
                               const LcBalancerRequestDesc *desc,
                               LcError *error);
 void lc_balancer_request_finish (LcBalancerRequest *plane);
-/* After each batch of operations; `is_reset` says that the whole view was replaced. */
+/* After each batch of operations, or with `is_reset` after the view was replaced. */
 void lc_balancer_request_view (
     LcBalancerRequest *plane, const LcView *view, const LcViewOp *ops, size_t n_ops, bool is_reset);
-/* A frame of this plane's range that the peer server received. */
+/* Rejects a frame of the peer server: agents answer on the links that balancers open. */
 void lc_balancer_request_frame (LcBalancerRequest *plane, LcLink *link, const LcFrame *frame);
 void lc_balancer_request_link_down (LcBalancerRequest *plane, LcLink *link);
-/* A planned stop begins: take nothing new, let what runs end. */
+/* Begins a planned stop: stops accepting connections, finishes the requests in flight. */
 void lc_balancer_request_drain (LcBalancerRequest *plane);
 bool lc_balancer_request_is_idle (const LcBalancerRequest *plane);
 
--- a/src/balancer/lc-balancer-settings.h
+++ b/src/balancer/lc-balancer-settings.h
@@ -1,4 +1,4 @@
-/* lc-balancer-settings: what lychee-balancer reads from its JSON file. */
+/* lc-balancer-settings: settings schema of lychee-balancer (JSON file). */
 #ifndef LC_BALANCER_SETTINGS_H
 #define LC_BALANCER_SETTINGS_H
 
@@ -8,16 +8,16 @@
 {
   char name[LC_NAME_MAX];
   char data_centre[LC_NAME_MAX];
-  char region[LC_NAME_MAX]; /* of the data centre; "": a declaration names it */
+  char region[LC_NAME_MAX]; /* of the data centre; "": taken from a declaration */
   uint32_t ipv4;
   uint16_t peer_port;
   uint16_t flow_port;
   uint16_t http_port;
   uint16_t admin_port;
-  uint32_t link_kbps; /* of this VM; 0: not said */
+  uint32_t link_kbps; /* bandwidth of this VM's link; 0: not set */
   uint32_t n_control;
   LcSocketAddress control[LC_CONTROL_VMS_MAX]; /* peer addresses of lychee-control */
-  uint16_t control_peer_port;                  /* 0: as in `control` */
+  uint16_t control_peer_port;                  /* replaces the ports in `control`; 0: doesn't */
   uint32_t packet_format;                      /* LcPacketFormat */
   uint32_t drain_limit_ms;
   uint32_t connect_timeout_ms;
--- a/src/balancer/lc-caller.c
+++ b/src/balancer/lc-caller.c
@@ -63,7 +63,7 @@
   char byte;
   ssize_t n;
 
-  /* HTTP/2 disposes of the request by itself, and TLS hides the end of the stream. */
+  /* h2o frees HTTP/2 requests itself, and under TLS the end of the stream can't be peeked at. */
   if (req->version >= 0x200 || socket == NULL || socket->ssl != NULL)
     return false;
   n = recv (h2o_socket_get_fd (socket), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -75,14 +75,14 @@
 static bool
 lc_caller__is_forwarded (const h2o_iovec_t *name)
 {
-  static const char *const NOT[] = {
+  static const char *const DROPPED[] = {
     "connection",        "keep-alive",         "proxy-connection", "te",   "trailer",
     "upgrade",           "transfer-encoding",  "content-length",   "host", "expect",
     "lychee-request-id", "lychee-deadline-ms", "lychee-timeout-ms"
   };
 
-  for (size_t i = 0; i < G_N_ELEMENTS (NOT); i++)
-    if (h2o_lcstris (name->base, name->len, NOT[i], strlen (NOT[i])))
+  for (size_t i = 0; i < G_N_ELEMENTS (DROPPED); i++)
+    if (h2o_lcstris (name->base, name->len, DROPPED[i], strlen (DROPPED[i])))
       return false;
   return true;
 }
@@ -182,7 +182,7 @@
                          copy.len);
 }
 
-/* The id by which a caller can ask: the key of a keyed request, else the request's own id. */
+/* Adds the id for later queries: the key of a keyed request, else the request's own id. */
 static void
 lc_caller__add_id (h2o_req_t *req, const LcFilterRequest *request)
 {
@@ -275,7 +275,7 @@
 void
 lc_caller_refuse (h2o_req_t *req, const LcFilterRequest *request, const LcFilterVerdict *v)
 {
-  /* A limit says nothing about earlier copies under a key that the caller chose. */
+  /* With a caller's key, an earlier copy may have run even though a limit refused this one. */
   if (v->reason != LC_REFUSE_NONE)
     lc_caller__say (req, request, v->reason,
                     request->key_text.len > 0 || request->is_query ? LC_OUTCOME_UNKNOWN
--- a/src/balancer/lc-caller.h
+++ b/src/balancer/lc-caller.h
@@ -1,11 +1,11 @@
-/* lc-caller: one caller's HTTP request, from h2o to the filters and back.
+/* lc-caller: converts a caller's HTTP request between h2o, the filters and the agents.
  *
  * WHAT IT IS
- *   Reads what the filters need out of an h2o request, makes the attempt's frames out of it, and
- *   writes answers and refusals as docs/CALLERS.md says.
+ *   Reads the fields that the filters need from an h2o request, encodes an attempt's frames, and
+ *   writes answers and refusals as specified in docs/CALLERS.md.
  *
  * LIFETIME
- *   Everything points into the h2o request's pool, which lives until the answer is written.
+ *   All pointers are into the h2o request's pool, which lives until the answer is written.
  */
 #ifndef LC_CALLER_H
 #define LC_CALLER_H
@@ -20,7 +20,7 @@
 /* Fills in the caller's part of a filter request. */
 void lc_caller_read (LcFilterRequest *request, h2o_req_t *req, int64_t now_us);
 
-/* Sends the head and the body's parts of an attempt; 0 or why it could not all be queued. */
+/* Sends the head and body parts of an attempt; 0, or the error if a part was not queued. */
 int lc_caller_send_attempt (LcLink *link,
                             h2o_req_t *req,
                             const LcFilterRequest *request,
@@ -29,14 +29,14 @@
 /* Whether the caller's connection is closed. */
 bool lc_caller_is_gone (h2o_req_t *req);
 
-/* A whole answer of the backend server. */
+/* Sends the caller the answer of the backend server. */
 void lc_caller_answer (h2o_req_t *req,
                        const LcFilterRequest *request,
                        const Lc__Request__AnswerHead *head,
                        const uint8_t *body,
                        size_t body_len);
 
-/* A refusal by a filter, or the end of a request without an answer. */
+/* Sends the caller a filter's refusal, or an error in place of an answer. */
 void lc_caller_refuse (h2o_req_t *req, const LcFilterRequest *request, const LcFilterVerdict *v);
 void lc_caller_fail (h2o_req_t *req, const LcFilterRequest *request, const LcBalancerAction *fail);
 
--- a/src/balancer/main.c
+++ b/src/balancer/main.c
@@ -93,7 +93,7 @@
          lc_member_is_confirmed (&p->member) && !lc_balancer_flow_is_alone (&p->flow);
 }
 
-/* The settings name other VMs to start from. */
+/* The settings list other control VMs. */
 static void
 lc_balancer__on_reload (void *user, const void *settings)
 {
