--- a/src/controller/lc-member-upstream.c
+++ b/src/controller/lc-member-upstream.c
@@ -38,7 +38,7 @@
   return lc_member__renew_us (member) * 2 + lc_member__renew_us (member) / 2;
 }
 
-/* One renewal interval more than silence, since the relay's confirmation is that old already. */
+/* The silence limit and a renewal interval, which the relay's own confirmation may be old. */
 int64_t
 lc_member__unvouched_us (const LcMember *member)
 {
--- a/src/controller/lc-member.h
+++ b/src/controller/lc-member.h
@@ -17,11 +17,11 @@
  *
  * HOW TO USE IT
  *     lc_member_init (&member, &desc, &error);
- *     lc_member_view (&member)                   the newest view
+ *     lc_member_view (&member)                          the newest view
  *     lc_member_frame (&member, link, frame)     frames 100..199 of the peer server
  *     lc_member_link_down (&member, link)
- *     lc_member_leave (&member)                  begins a planned stop
- *     lc_member_has_left (&member)               the leaving is committed and in this view
+ *     lc_member_leave (&member)                         begins a planned stop
+ *     lc_member_has_left (&member)                      the leaving is committed and in this view
  *     lc_member_finish (&member);
  *
  * LOSS OF ALL UPSTREAMS
--- a/src/controller/lc-view-server.h
+++ b/src/controller/lc-view-server.h
@@ -8,8 +8,8 @@
  * HOW TO USE IT
  *     lc_view_server_init (&server, &desc);
  *     lc_view_server_subscribe (&server, link, from_revision, &scope);
- *     lc_view_server_publish (&server, ops, n_ops);    after they were applied to the view
- *     lc_view_server_reset (&server);                  after the view was replaced
+ *     lc_view_server_publish (&server, ops, n_ops);        after they were applied to the view
+ *     lc_view_server_reset (&server);                      after the view was replaced
  *     lc_view_server_greeted (&server, link);          while there is no view: see first_view
  *     lc_view_server_link_down (&server, link);
  *     lc_view_server_finish (&server);
@@ -38,8 +38,8 @@
   uint32_t max_snapshots; /* 0: 16 */
   size_t max_ops;         /* capacity of the log; 0: see lc-op-log */
   void *user;
-  /* Called for each waiting link when there is a view or lc_view_server_tell_waiting is called, so
-   * that a member need not wait for its next renewal a second later.  May be NULL. */
+  /* Called for each waiting link when there is a view, or by lc_view_server_tell_waiting, so that
+   * a member need not wait for its next renewal a second later.  May be NULL. */
   void (*first_view) (void *user, LcLink *link);
 } LcViewServerDesc;
 
