--- a/src/agent/main.c
+++ b/src/agent/main.c
@@ -226,7 +226,7 @@
                         .upstreams = p->settings.balancers,
                         .n_upstreams = p->settings.n_balancers,
                         .ramp_ms = p->settings.ramp_ms,
-                        .is_held = lc_agent__is_reported (p),
+                        .starts_unregistered = lc_agent__is_reported (p),
                         .reconnect_max_ms = p->settings.reconnect_max_ms,
                         .connect_timeout_ms = p->settings.connect_timeout_ms,
                         .user = p,
--- a/src/controller/lc-member-choose.c
+++ b/src/controller/lc-member-choose.c
@@ -111,7 +111,7 @@
 static bool
 lc_member__is_empty (const LcMemberSlot *slot, int64_t now_us)
 {
-  return slot->is_open && slot->is_known && slot->revision == 0 &&
+  return slot->is_open && slot->has_status && slot->revision == 0 &&
          slot->member->sync.view.revision == 0 &&
          (slot->is_standby || now_us - slot->opened_us >= LC_MEMBER_EMPTY_MS * LC_US_PER_MS);
 }
@@ -121,7 +121,7 @@
 static bool
 lc_member__is_lagging (const LcMemberSlot *slot, int64_t now_us)
 {
-  return slot->is_open && slot->is_known && slot->member->sync.view.revision > 0 &&
+  return slot->is_open && slot->has_status && slot->member->sync.view.revision > 0 &&
          now_us - slot->opened_us >= LC_MEMBER_BEHIND_MS * LC_US_PER_MS &&
          lc_staleness_lacks (&slot->member->staleness, slot->revision);
 }
@@ -237,7 +237,7 @@
   if (lc_member__link (slot) != NULL)
     lc_member__send_renew (slot, LC_MEMBER_PHASE_MOVED, now_us);
   slot->is_open = false;
-  slot->is_known = false;
+  slot->has_status = false;
   lc_link_client_finish (&slot->client);
 }
 
@@ -327,7 +327,7 @@
 bool
 lc_member__is_usable (const LcMemberSlot *slot, int64_t now_us)
 {
-  return slot->is_open && slot->is_known && !lc_member__is_silent (slot, now_us);
+  return slot->is_open && slot->has_status && !lc_member__is_silent (slot, now_us);
 }
 
 /* The usable upstream with the newest view; the first by rendezvous rank among equals. */
@@ -361,7 +361,7 @@
   if (member->sync.view.revision > 0 || member->is_started)
     return true;
   for (uint32_t i = 0; i < member->n_slots; i++)
-    n_unanswered += member->slots[i].is_open && !member->slots[i].is_known;
+    n_unanswered += member->slots[i].is_open && !member->slots[i].has_status;
   return lc_first_view_may_accept (&member->first_view, n_unanswered, now_us);
 }
 
@@ -440,7 +440,7 @@
       bool is_source = i == member->primary ||
                        (member->desc.kind == LC_MEMBER_AGENT && member->sync.view.revision > 0);
 
-      if (is_source && !slot->is_subscribed && slot->is_known && now_us >= slot->subscribe_at_us)
+      if (is_source && !slot->is_subscribed && slot->has_status && now_us >= slot->subscribe_at_us)
         lc_member__subscribe (slot, now_us);
     }
 }
--- a/src/controller/lc-member-upstream.c
+++ b/src/controller/lc-member-upstream.c
@@ -155,7 +155,7 @@
 lc_member__counts_here (LcMember *member, uint32_t slot_index)
 {
   for (uint32_t i = member->first_dynamic; i < slot_index; i++)
-    if (member->slots[i].is_known && lc_member__link (&member->slots[i]) != NULL)
+    if (member->slots[i].has_status && lc_member__link (&member->slots[i]) != NULL)
       return false;
   return true;
 }
@@ -360,10 +360,10 @@
 
   if (status == NULL)
     return;
-  if (!slot->is_known ||
+  if (!slot->has_status ||
       (member->sync.view.revision == 0 && (status->revision > 0 || status->stands_by)))
     lc_member__tick_soon (member);
-  slot->is_known = true;
+  slot->has_status = true;
   slot->revision = status->revision;
   if (status->revision > 0)
     lc_first_view_record_offer (&member->first_view, now_us);
@@ -383,7 +383,7 @@
   if (status->is_confirmed && slot->is_subscribed && member->sync.view.revision > 0)
     member->is_confirmed = true;
   lc_member_learn_control (member, control, lc_wire_member_control_read (control, status));
-  if (status->needs_hello && !member->is_held)
+  if (status->needs_hello && !member->is_unregistered)
     lc_member__send_hello (slot, lc_member__link (slot));
   lc__wire__member_status__free_unpacked (status, NULL);
 }
@@ -450,7 +450,7 @@
   int64_t now_us = lc_clock_now_us ();
 
   lc_member__log_link (slot, "upstream.up", "", 0);
-  slot->is_known = false;
+  slot->has_status = false;
   slot->is_standby = false;
   slot->is_subscribed = false;
   slot->last_frame_us = 0;
@@ -459,7 +459,7 @@
   slot->subscribe_at_us = 0;
   slot->renew_at_us = 0;
   /* Before it is registered, a member sends a renewal, which is answered with a status, too. */
-  if (slot->member->is_held)
+  if (slot->member->is_unregistered)
     lc_member__send_renew (slot, LC_MEMBER_PHASE_LIVE, now_us);
   else
     lc_member__send_hello (slot, link);
@@ -480,7 +480,7 @@
   LcMember *member = slot->member;
 
   lc_member__log_link (slot, "upstream.down", why, 0);
-  slot->is_known = false;
+  slot->has_status = false;
   slot->is_subscribed = false;
   slot->is_leader = false;
   if (lc_view_sync_source_down (&member->sync, lc_member__index (slot)))
--- a/src/controller/lc-member.c
+++ b/src/controller/lc-member.c
@@ -47,7 +47,7 @@
     {
       LcMemberSlot *slot = &member->slots[i];
 
-      if (now_us >= slot->renew_at_us && slot->is_known && lc_member__link (slot) != NULL)
+      if (now_us >= slot->renew_at_us && slot->has_status && lc_member__link (slot) != NULL)
         lc_member__send_renew (slot, member->phase, now_us);
     }
 }
@@ -79,7 +79,7 @@
     lc_member_serve_tick (member, now_us);
   lc_member__note_acks (member);
   lc_member__renew_due (member, now_us);
-  lc_metric_set (member->silence_gauge, lc_member_silence_us (member, now_us) / LC_US_PER_MS);
+  lc_metric_set (member->view_age_gauge, lc_member_silence_us (member, now_us) / LC_US_PER_MS);
   lc_timer_start (&member->tick,
                   lc_member__awaits_view (member) ? LC_MEMBER_FIRST_TICK_MS : LC_MEMBER_TICK_MS);
 }
@@ -99,7 +99,7 @@
 
   member->revision_gauge =
       lc_metrics_gauge (m, "lychee_view_revision", "Revision of this node's view", NULL);
-  member->silence_gauge =
+  member->view_age_gauge =
       lc_metrics_gauge (m, "lychee_view_age_ms",
                         "Since control is known to have vouched for the view; -1 never", NULL);
   member->moves_total =
@@ -132,7 +132,7 @@
   memset (member, 0, sizeof *member);
   member->desc = *desc;
   member->primary = UINT32_MAX;
-  member->is_held = desc->is_held;
+  member->is_unregistered = desc->starts_unregistered;
   member->upstreams_revision = -1;
   member->started_us = lc_clock_now_us ();
   member->first_view.started_us = member->started_us;
@@ -222,7 +222,7 @@
 {
   const LcEndpoint *e = lc_member_own_endpoint (member);
 
-  if (!member->is_held || e == NULL)
+  if (!member->is_unregistered || e == NULL)
     return false;
   member->desc.endpoint.instance = e->instance;
   return true;
@@ -233,7 +233,7 @@
 {
   bool is_new_instance = member->desc.endpoint.instance != instance;
 
-  member->is_held = false;
+  member->is_unregistered = false;
   member->desc.endpoint.instance = instance;
   if (slots != 0)
     member->desc.endpoint.slots = slots;
--- a/src/controller/lc-member.h
+++ b/src/controller/lc-member.h
@@ -70,7 +70,7 @@
   uint32_t reconnect_max_ms;   /* maximum backoff between connection attempts; 0: 2000 */
   uint32_t connect_timeout_ms; /* 0: 1000 */
   uint32_t ramp_ms;            /* agents: from being listed in the view to "ramped" */
-  bool is_held;                /* agents: not registered until lc_member_announce */
+  bool starts_unregistered;    /* agents: not registered until lc_member_announce */
   void *user;
   /* `ops` were just applied; with `is_reset` a snapshot replaced the view instead. */
   void (*changed) (
@@ -85,8 +85,8 @@
   LcMember *member;
   LcLinkClient client;
   LcSocketAddress address;
-  bool is_open;  /* the client is initialised */
-  bool is_known; /* it has sent its status since the link came up */
+  bool is_open;    /* the client is initialised */
+  bool has_status; /* it has sent its status since the link came up */
   bool is_subscribed;
   bool is_leader;        /* the leader of control */
   bool is_confirmed;     /* its view came from control */
@@ -117,8 +117,8 @@
   int64_t behind_us;      /* since when another upstream has a newer view; 0: none */
   LcStaleness staleness;  /* of the view, by the revisions of upstreams and peers */
   LcTimer tick;
-  bool is_started;         /* a primary has been chosen */
-  bool is_held;            /* not registered yet */
+  bool is_started; /* a primary has been chosen */
+  bool is_unregistered;
   bool keeps_registration; /* the endpoint stays registered after this process ends */
   LcMemberPhase phase;
   bool is_ramped;
@@ -142,7 +142,7 @@
 
   LcMetric *revision_gauge;
   LcMetric *leases_gauge;
-  LcMetric *silence_gauge;
+  LcMetric *view_age_gauge;
   LcMetric *moves_total;
   LcMetric *malformed_total;
   LcLogLimit log_limit;
--- a/tests/member/test-member-links.c
+++ b/tests/member/test-member-links.c
@@ -544,7 +544,7 @@
   ck_assert_uint_eq (fake_node_revision (&w->agents[0]), before);
   ck_assert_uint_eq (n_in_state (lc_member_view (&w->agents[0].member), LC_ENDPOINT_ACTIVE),
                      N_AGENTS);
-  ck_assert_int_ge (lc_metric_value (w->agents[0].member.silence_gauge), 500);
+  ck_assert_int_ge (lc_metric_value (w->agents[0].member.view_age_gauge), 500);
   w->control[0].is_cut = false;
   w->control[1].is_cut = false;
   (void)fake_control_add_service (&w->control[0], "later");
@@ -829,7 +829,7 @@
 
   for (uint32_t i = 0; i < N_FIRST_BALANCERS; i++)
     for (uint32_t k = 0; k < 2; k++)
-      if (!f->balancers[i].member.slots[k].is_known)
+      if (!f->balancers[i].member.slots[k].has_status)
         return false;
   for (uint32_t i = 0; i < N_FIRST_AGENTS; i++)
     if (f->agents[i].member.primary == UINT32_MAX)
