--- a/src/agent/lc-agent-attempt.c
+++ b/src/agent/lc-agent-attempt.c
@@ -34,7 +34,7 @@
   return true;
 }
 
-/* === public: parts ========================================================================== */
+/* === public: reassembly ===================================================================== */
 
 LcPartial *
 lc_partial_new (uint64_t link_id, Lc__Request__AttemptHead *head)
@@ -47,7 +47,7 @@
       return NULL;
     }
   partial = g_new0 (LcPartial, 1);
-  partial->ask = (LcAttemptId){ link_id, { head->id_hi, head->id_lo }, head->attempt };
+  partial->attempt_id = (LcAttemptId){ link_id, { head->id_hi, head->id_lo }, head->attempt };
   partial->head = head;
   partial->body = g_byte_array_new ();
   return partial;
@@ -92,7 +92,7 @@
   const Lc__Request__AttemptHead *head = partial->head;
   int64_t left_us = (int64_t)MIN (head->left_us, (uint64_t)(60 * LC_US_PER_S));
 
-  return (LcAgentAttempt){ .attempt_id = partial->ask,
+  return (LcAgentAttempt){ .attempt_id = partial->attempt_id,
                            .instance = head->instance,
                            .key = { head->key_hi, head->key_lo },
                            .is_caller_key = head->caller_key,
@@ -127,7 +127,7 @@
   return false;
 }
 
-/* Our own headers: what the backend server may use for cancellation, deadlines and its logs. */
+/* Appends our own headers, which a backend server may use to cancel, for deadlines and in logs. */
 static void
 lc_partial__append_own (GByteArray *out, const LcPartial *partial, int64_t left_us)
 {
@@ -135,7 +135,7 @@
   char id[LC_REQUEST_ID_TEXT];
   char line[160];
 
-  lc_request_id_text (id, partial->ask.id);
+  lc_request_id_text (id, partial->attempt_id.id);
   (void)g_snprintf (line, sizeof line,
                     "lychee-request-id: %s\r\nlychee-deadline-ms: %" PRId64 "\r\n", id,
                     MAX (left_us, 0) / LC_US_PER_MS);
@@ -180,9 +180,10 @@
 guint
 lc_ask_hash (gconstpointer data)
 {
-  const LcAttemptId *ask = data;
+  const LcAttemptId *attempt_id = data;
 
-  return (guint)(ask->id.lo ^ (ask->id.lo >> 32) ^ ask->attempt ^ (ask->link_id << 8));
+  return (guint)(attempt_id->id.lo ^ (attempt_id->id.lo >> 32) ^ attempt_id->attempt ^
+                 (attempt_id->link_id << 8));
 }
 
 gboolean
--- a/src/agent/lc-agent-attempt.h
+++ b/src/agent/lc-agent-attempt.h
@@ -1,11 +1,11 @@
-/* lc-agent-attempt: puts an attempt together from its frames, and makes the request out of it.
+/* lc-agent-attempt: reassembles an attempt from its frames and builds its HTTP/1.1 request.
  *
  * WHAT IT IS
- *   The head names length and checksum of the body; parts must come in order.  Anything that does
- *   not fit is refused before a decision is asked for.
+ *   The head frame gives length and checksum of the body; parts must come in order.  A malformed
+ *   attempt is refused before lc-request-agent gets it.
  *
  * LIFETIME
- *   An LcPartial owns copies of what the frames said.
+ *   An LcPartial owns its head and body.
  */
 #ifndef LC_AGENT_ATTEMPT_H
 #define LC_AGENT_ATTEMPT_H
@@ -16,30 +16,30 @@
 
 typedef struct
 {
-  LcAttemptId ask;
+  LcAttemptId attempt_id;
   Lc__Request__AttemptHead *head; /* owned */
   GByteArray *body;
 } LcPartial;
 
-/* Takes `head`; NULL (and `head` freed) when it can't be right. */
+/* Takes ownership of `head`; frees it and returns NULL if it is invalid. */
 LcPartial *lc_partial_new (uint64_t link_id, Lc__Request__AttemptHead *head);
 void lc_partial_free (gpointer partial);
 
-/* Adds a part; false when it does not follow the last one or is too long. */
+/* Appends a part; false if it is out of order or exceeds the body's length. */
 bool lc_partial_add (LcPartial *partial, const Lc__Request__AttemptBody *part);
 bool lc_partial_is_whole (const LcPartial *partial);
 
-/* Whether the whole body has its checksum. */
+/* Whether the body's checksum matches. */
 bool lc_partial_is_sound (const LcPartial *partial);
 
-/* The attempt as the core takes it. */
+/* The attempt for lc_request_agent_handle_attempt. */
 LcAgentAttempt lc_partial_attempt (const LcPartial *partial, int64_t now_us);
 
 /* The HTTP/1.1 request for the backend server. */
 GBytes *lc_partial_request (const LcPartial *partial, int64_t left_us);
 
-/* For a table of partial attempts. */
-guint lc_ask_hash (gconstpointer ask);
+/* For tables by LcAttemptId. */
+guint lc_ask_hash (gconstpointer attempt_id);
 gboolean lc_ask_is_equal (gconstpointer a, gconstpointer b);
 
 #endif /* LC_AGENT_ATTEMPT_H */
--- a/src/agent/lc-agent-claims.c
+++ b/src/agent/lc-agent-claims.c
@@ -1,13 +1,12 @@
 #include "lc-agent-request-private.h"
 
-/* A time that another agent names counts up to this: longer than any claim is kept or waited for.
- */
+/* Limit for durations in frames of other agents: longer than any claim is kept or waited for. */
 #define LC_AGENT_CLAIM_TIME_MAX_US ((uint64_t)(3600 * LC_US_PER_S))
 
-/* A boot id has 36 characters and a line end. */
+/* 36 characters and a newline. */
 static const char LC_AGENT_BOOT_ID[] = "/proc/sys/kernel/random/boot_id";
 
-/* === private: the file of claims ============================================================ */
+/* === private: claim file ==================================================================== */
 
 static int
 lc_agent_request__boot_id (char out[], size_t size, LcError *error)
@@ -91,7 +90,7 @@
     lc_agent_request__claims_lost (plane, &error);
 }
 
-/* === private: claims in ===================================================================== */
+/* === private: incoming claims =============================================================== */
 
 void
 lc_agent_request__on_claim (LcAgentRequest *plane, LcLink *link, const LcFrame *frame)
@@ -111,7 +110,7 @@
       &plane->core, claim->home_instance, key,
       (LcMemberRef){ claim->owner_id, claim->owner_instance }, claim->sequence, claim->era,
       (int64_t)MIN (claim->keep_us, LC_AGENT_CLAIM_TIME_MAX_US), lc_clock_now_us (), &hold);
-  lc_agent_request__act (plane); /* a grant is in the file before it is told */
+  lc_agent_request__act (plane); /* a grant is persisted before it is sent */
   answer.key_hi = key.hi;
   answer.key_lo = key.lo;
   answer.sequence = claim->sequence;
@@ -283,7 +282,7 @@
   lc__request__claim_read__free_unpacked (read, NULL);
 }
 
-/* All records of the answer have come. */
+/* Handles the last part of an answer. */
 static void
 lc_agent_request__read_done (LcAgentRequest *plane,
                              const Lc__Request__ClaimReadAnswer *answer,
--- a/src/agent/lc-agent-flow-report.c
+++ b/src/agent/lc-agent-flow-report.c
@@ -17,7 +17,7 @@
                                           "Answers that took longer than late_answer_ms", NULL);
 }
 
-/* How requests wait, and whether the backend server was left out (lc-flow-gate, lc-outlier). */
+/* Counters of the admission queue and of ejections (lc-flow-gate, lc-outlier). */
 static void
 lc_agent_flow__add_gate_meters (LcAgentFlow *plane, LcMetrics *metrics)
 {
@@ -39,8 +39,8 @@
   lc_flow_meter_add (meter, metrics, "lychee_flow_ejected_total",
                      "Times that the backend server was left out for its failures", NULL,
                      &plane->agent.counts.ejected_total);
-  plane->at_work = lc_metrics_gauge (metrics, "lychee_flow_at_work",
-                                     "Requests without an answer, waiting ones included", NULL);
+  plane->in_flight = lc_metrics_gauge (metrics, "lychee_flow_at_work",
+                                       "Requests without an answer, waiting ones included", NULL);
 }
 
 void
@@ -91,18 +91,18 @@
   lc_agent_flow__add_histograms (plane, metrics);
 }
 
-/* Brings one total to the service-level counts. */
+/* Adds what a total has grown by to the service-level counts. */
 static void
 lc_agent_flow__burn (LcAgentFlow *plane, LcBurnCounter counter, uint64_t total)
 {
-  uint64_t *brought = &plane->burned[counter];
+  uint64_t *added = &plane->burn_added[counter];
 
-  if (total > *brought)
-    lc_burn_add (&plane->desc.app->burn, plane->desc.settings->service, counter, total - *brought);
-  *brought = MAX (*brought, total);
+  if (total > *added)
+    lc_burn_add (&plane->desc.app->burn, plane->desc.settings->service, counter, total - *added);
+  *added = MAX (*added, total);
 }
 
-/* A flow taken over from a leaving agent opens here and has ended there. */
+/* An adopted flow counts as opened here and as ended at the agent that handed it over. */
 void
 lc_agent_flow__bring_totals (LcAgentFlow *plane)
 {
@@ -112,10 +112,10 @@
 
   lc_flow_meter_bring (&plane->meter);
   lc_metric_set (plane->open_flows, lc_flow_agent_open_flows (&plane->agent));
-  lc_metric_set (plane->at_work, lc_flow_agent_unanswered_requests (&plane->agent));
+  lc_metric_set (plane->in_flight, lc_flow_agent_unanswered_requests (&plane->agent));
   lc_agent_flow__burn (plane, LC_BURN_FLOW_OPENED, opened);
   lc_agent_flow__burn (plane, LC_BURN_FLOW_ENDED, gone);
-  /* Broken flows were another's: their owner is gone and can't count them, so their home does. */
+  /* A broken flow's owner is gone and can't count it, so its first home does. */
   lc_agent_flow__burn (plane, LC_BURN_FLOW_BROKEN, counts->broken_total + counts->conflicts_total);
   lc_agent_flow__burn (plane, LC_BURN_FLOW_REFUSED,
                        counts->dropped_total[LC_DROP_LIMIT] +
@@ -130,24 +130,24 @@
   switch ((LcEnvelopeMode)mode)
     {
     case LC_MODE_WALK:
-      return "asks the next home";
+      return "sent to the next home";
     case LC_MODE_OPEN:
       return "assigned to it";
     case LC_MODE_OWNER:
-      return "known as its owner";
+      return "sent to its known owner";
     case LC_MODE_ASSIGN:
-      return "to be assigned there";
+      return "sent there for assignment";
     case LC_MODE_REFUSED:
-      return "not taken here";
+      return "refused here";
     case LC_MODE_SEARCH:
       return "asked for the owner";
     case LC_MODE_FIND:
-      return "to be searched for there";
+      return "sent there for a search";
     }
   return NULL;
 }
 
-/* What every line of this agent says of its own knowledge. */
+/* Fills the fields that all lines have: age of the view and load. */
 static LcFlowLogLine
 lc_agent_flow__line (const LcAgentFlow *plane,
                      LcFlowLogKind kind,
@@ -192,7 +192,7 @@
     case LC_FLOW_ACTION_SEARCH:
       line.kind = LC_FLOW_LOG_SEARCHED;
       line.why =
-          action->search.is_local ? "no home knows its owner" : "the backend server returned it";
+          action->search.is_local ? "no home has its owner" : "the backend server returned it";
       line.n_asked = n_asked;
       break;
     case LC_FLOW_ACTION_RESET:
@@ -201,8 +201,7 @@
       break;
     case LC_FLOW_ACTION_DROP:
       if (packet->is_returned && packet->mark != LC_FLOW_MARK_NONE && !packet->may_open)
-        return; /* another agent asked for the owner, and it is not here: that one says what follows
-                 */
+        return; /* another agent's search: that one logs its result */
       line.why = lc_drop_reason_name (action->reason);
       break;
     }
@@ -225,7 +224,7 @@
 {
   LcFlowLogLine line = lc_agent_flow__line (plane, LC_FLOW_LOG_RESET, &packet->key, now_us);
 
-  line.why = "every backend server denied it";
+  line.why = "no backend server holds it";
   lc_flow_log (&plane->log, &line, now_us);
 }
 
--- a/src/agent/lc-agent-flow-start.c
+++ b/src/agent/lc-agent-flow-start.c
@@ -4,19 +4,19 @@
 
 enum
 {
-  /* Where requests at work are seen: */
-  LC_AGENT_FLOW_LOAD_MS = 200,       /* loads are told at least so often */
-  LC_AGENT_FLOW_TELL_MS = 100,       /* and at most so often: two rounds of a short request */
-  LC_AGENT_FLOW_STALE_MS = 700,      /* three loads missed */
-  LC_AGENT_FLOW_WORK_WEIGHT = 30,    /* an open flow is at work for about a thirtieth of its time */
+  /* For packet formats that show where requests begin and end: */
+  LC_AGENT_FLOW_LOAD_MS = 200,       /* longest interval of load reports */
+  LC_AGENT_FLOW_TELL_MS = 100,       /* shortest one: two rounds of a short request */
+  LC_AGENT_FLOW_STALE_MS = 700,      /* three load reports missed */
+  LC_AGENT_FLOW_WORK_WEIGHT = 30,    /* an open flow has a request for about 1/30 of its time */
   LC_AGENT_FLOW_RAMP_PERMILLE = 600, /* a cold backend server takes about 1.6 times as long */
-  LC_AGENT_FLOW_NEAR_PERMILLE = 500, /* half of the slots: the next request waits for none */
+  LC_AGENT_FLOW_NEAR_PERMILLE = 500, /* half of the slots: the next request finds a free one */
 };
 
-/* === private: the agent's settings ========================================================== */
+/* === private: configuration ================================================================= */
 
-/* Where packets show when a request begins and when its answer does, endpoints are compared by the
- * requests at work, and the data centre is left only when its endpoints have no free slot. */
+/* Packets show when a request and its answer begin, so endpoints are compared by their requests in
+ * flight, and the data centre is left only when none of its endpoints has a free slot. */
 static void
 lc_agent_flow__weigh_work (LcFlowAgentDesc *desc)
 {
@@ -48,9 +48,9 @@
   return desc;
 }
 
-/* === private: beginning ===================================================================== */
+/* === private: start ========================================================================= */
 
-/* With an agent that knows of no flow, for this start of the backend server. */
+/* Starts an empty state machine for the present start of the backend server. */
 static void
 lc_agent_flow__begin (
     LcAgentFlow *plane, const LcCandidate *self, LcServiceId service_id, LcDcId dc, int64_t now_us)
@@ -58,36 +58,36 @@
   LcFlowAgentDesc desc = lc_agent_flow__agent_desc (plane);
   LcWarmupLimit firsts = plane->agent.first_packets;
   LcWarmupLimit requests = plane->agent.gate.cold;
-  bool goes_on = plane->has_agent;
+  bool is_restart = plane->has_agent;
 
   if (plane->has_agent)
-    lc_flow_agent_finish (&plane->agent); /* another backend server: the flows were its own */
+    lc_flow_agent_finish (&plane->agent); /* its flows ended with the earlier backend server */
   lc_agent_held_finish (&plane->held);
-  lc_agent_held_finish (&plane->searched);
+  lc_agent_held_finish (&plane->searching);
   desc.self = *self;
   desc.service_id = service_id;
-  desc.is_backend_fresh = plane->is_fresh;
+  desc.is_backend_fresh = plane->is_backend_fresh;
   lc_flow_agent_init (&plane->agent, &desc, now_us);
-  if (goes_on)
+  if (is_restart)
     {
-      /* What was given in the last second may have been given to this start of it already. */
+      /* What was sent in the last second may have reached the present start already. */
       plane->agent.first_packets = firsts;
       plane->agent.gate.cold = requests;
     }
   lc_flow_agent_set_cold (&plane->agent, plane->is_cold);
-  plane->expired_logged = 0;
+  plane->logged_expired_total = 0;
   plane->has_agent = true;
   lc_flow_agent_set_dc (&plane->agent, dc);
-  lc_flow_agent_set_backend (&plane->agent, plane->backend);
-  if (plane->is_draining || plane->is_leaving)
+  lc_flow_agent_set_backend (&plane->agent, plane->backend_state);
+  if (plane->is_draining || plane->is_backend_leaving)
     lc_flow_agent_leave (&plane->agent);
   LC_INFO ("flow.started", "endpoint", LC_U64 (self->id), "service", LC_U64 (service_id));
 }
 
-/* The endpoint's id and service are known once control has committed its announcement.  A backend
- * server that has started anew at an endpoint that the view knows goes by the name of its earlier
- * start until then: after a loss of all power its first flows need not wait for 200 announcements
- * to be committed, and who searches hears at once that it holds nothing. */
+/* The endpoint's id and service are known once control has committed its announcement.  Until then,
+ * a restarted backend server at an endpoint of the view uses the instance of its earlier start:
+ * after a loss of all power its first flows need not wait until 200 announcements are committed,
+ * and a search gets its answer at once that it holds no flow. */
 void
 lc_agent_flow__start_agent (LcAgentFlow *plane, int64_t now_us)
 {
@@ -98,20 +98,19 @@
     return;
   self = (LcCandidate){ e->id, e->ipv4, e->instance, e->flow_port };
   if (plane->has_agent && plane->agent.desc.service_id == e->service_id &&
-      plane->agent.desc.self.id == e->id && e->instance == plane->started)
-    lc_flow_agent_set_identity (&plane->agent,
-                                &self); /* begun when its backend server reported itself */
+      plane->agent.desc.self.id == e->id && e->instance == plane->backend_instance)
+    lc_flow_agent_set_identity (&plane->agent, &self); /* started at its backend server's report */
   else if (e->instance == lc_member_instance (plane->desc.member) ||
-           (!plane->has_agent && plane->started != 0))
+           (!plane->has_agent && plane->backend_instance != 0))
     lc_agent_flow__begin (plane, &self, e->service_id, e->dc, now_us);
 }
 
-/* === public: what the backend server says of itself ========================================= */
+/* === public: state of the backend server ==================================================== */
 
 void
 lc_agent_flow_leave (LcAgentFlow *plane)
 {
-  plane->is_leaving = true;
+  plane->is_backend_leaving = true;
   if (plane->has_agent)
     lc_flow_agent_leave (&plane->agent);
 }
@@ -123,10 +122,10 @@
   int64_t now_us = lc_clock_now_us ();
   LcCandidate self;
 
-  plane->is_leaving = false;
-  plane->started = instance;
-  plane->is_fresh = is_new && (known == NULL || known->instance != instance) &&
-                    (!plane->has_agent || plane->agent.table.n_owned == 0);
+  plane->is_backend_leaving = false;
+  plane->backend_instance = instance;
+  plane->is_backend_fresh = is_new && (known == NULL || known->instance != instance) &&
+                            (!plane->has_agent || plane->agent.table.n_owned == 0);
   if (!plane->has_agent)
     return;
   if (plane->agent.desc.self.instance == instance)
@@ -155,9 +154,9 @@
 {
   static const char *const NAMES[] = { "open", "asked", "none" };
 
-  if (plane->backend == backend)
+  if (plane->backend_state == backend)
     return;
-  plane->backend = backend;
+  plane->backend_state = backend;
   LC_INFO ("flow.backend", "state", LC_STR (NAMES[backend]));
   if (plane->has_agent)
     lc_flow_agent_set_backend (&plane->agent, backend);
--- a/src/agent/lc-agent-flow.c
+++ b/src/agent/lc-agent-flow.c
@@ -11,7 +11,7 @@
 enum
 {
   LC_AGENT_FLOW_TICK_MS = LC_FLOW_AGENT_TICK_US / LC_US_PER_MS,
-  LC_AGENT_FLOW_CUT_OFF_MS = 2000, /* below the shortest lease: see lc-steer */
+  LC_AGENT_FLOW_CUT_OFF_MS = 2000, /* shorter than any lease: see lc-steer */
   LC_AGENT_FLOW_LOG_PER_S = 2,
 };
 
@@ -23,7 +23,7 @@
   return (LcPacketFormat)plane->desc.settings->packet_format;
 }
 
-/* Answers for the caller go to the port at which the fabric takes them, the same on every VM. */
+/* The fabric accepts packets to callers at the flow port, which is the same on every VM. */
 static void
 lc_agent_flow__send_to_caller (LcAgentFlow *plane, uint32_t ipv4, const uint8_t *bytes, size_t len)
 {
@@ -54,7 +54,7 @@
 
 /* === private: to the backend server ========================================================= */
 
-/* The whole packet, in a datagram of its own. */
+/* Sends the complete packet as a datagram's payload. */
 static void
 lc_agent_flow__give (LcAgentFlow *plane, uint8_t *bytes, size_t len, uint32_t mark)
 {
@@ -80,8 +80,8 @@
 
 /* === private: messages ====================================================================== */
 
-/* Gives packets that are searched for to those whose backend servers may hold their flows; returns
- * to how many. */
+/* Sends packets of searches to endpoints whose backend servers may hold the flow; returns how many
+ * it sent. */
 static uint32_t
 lc_agent_flow__try_searched (LcAgentFlow *plane, int64_t now_us)
 {
@@ -92,7 +92,7 @@
 
   while (lc_flow_finder_next_try (&plane->agent, now_us, &next))
     {
-      const LcAgentHeldPacket *kept = lc_agent_held_take (&plane->searched, next.slot);
+      const LcAgentHeldPacket *kept = lc_agent_held_take (&plane->searching, next.slot);
 
       for (uint32_t i = 0; kept != NULL && i < next.n; i++)
         {
@@ -103,7 +103,7 @@
           n_given++;
         }
       if (kept != NULL)
-        (void)lc_agent_held_put (&plane->searched, next.slot, kept->bytes, kept->len);
+        (void)lc_agent_held_put (&plane->searching, next.slot, kept->bytes, kept->len);
     }
   return n_given;
 }
@@ -128,21 +128,21 @@
     }
 }
 
-/* Searches that end without a result: who kept the answer back. */
+/* Logs searches without a result, and an endpoint that did not respond. */
 static void
 lc_agent_flow__note_expired (LcAgentFlow *plane, int64_t now_us)
 {
   const LcFlowSearches *searches = plane->agent.searches;
 
-  if (searches == NULL || searches->expired_total == plane->expired_logged)
+  if (searches == NULL || searches->expired_total == plane->logged_expired_total)
     return;
   if (!lc_log_allow (&plane->expired_limit, now_us, LC_AGENT_FLOW_LOG_PER_S))
     return;
   LC_WARN ("flow.search-expired", "searches",
-           LC_U64 (searches->expired_total - plane->expired_logged), "silent_endpoint",
+           LC_U64 (searches->expired_total - plane->logged_expired_total), "silent_endpoint",
            LC_U64 (searches->silent.id), "silent_ipv4", LC_U64 (searches->silent.ipv4),
            "membership", LC_U64 (searches->membership));
-  plane->expired_logged = searches->expired_total;
+  plane->logged_expired_total = searches->expired_total;
 }
 
 static void
@@ -182,7 +182,7 @@
       return;
     }
   if (packet->key.protocol != LC_PROTOCOL_UDP)
-    return; /* TCP has no payload to relay: it needs injection */
+    return; /* a TCP segment can't be relayed as a payload: needs injection */
   flow->user = lc_agent_relay_send (&plane->relay, flow->user, &packet->key, flow->relay_port, ipv4,
                                     port, bytes + packet->payload_start,
                                     packet->total_len - packet->payload_start);
@@ -211,8 +211,8 @@
                        const LcPacket *packet)
 {
   lc_packet_format_set_mark (lc_agent_flow__format (plane), bytes, LC_FLOW_MARK_NONE);
-  lc_agent_held_drop (&plane->searched, action->search.slot);
-  (void)lc_agent_held_put (&plane->searched, action->search.slot, bytes, packet->total_len);
+  lc_agent_held_drop (&plane->searching, action->search.slot);
+  (void)lc_agent_held_put (&plane->searching, action->search.slot, bytes, packet->total_len);
   if (action->search.is_local)
     lc_agent_flow__give (plane, bytes, packet->total_len, plane->agent.desc.self.id);
 }
@@ -373,7 +373,7 @@
   lc_datagram_flush (&plane->port);
 }
 
-/* === private: time ========================================================================== */
+/* === private: timer ========================================================================= */
 
 static bool
 lc_agent_flow__is_owned (void *user, const LcFlowKey *key)
@@ -391,7 +391,7 @@
 {
   if (!plane->is_draining)
     return;
-  if (now_us >= plane->hand_over_us && !plane->agent.is_handing_over)
+  if (now_us >= plane->hand_over_at_us && !plane->agent.is_handing_over)
     {
       LC_INFO ("flow.hand-over", "flows", LC_U64 (plane->agent.table.n_owned));
       lc_flow_agent_hand_over (&plane->agent);
@@ -475,7 +475,7 @@
   memset (plane, 0, sizeof *plane);
   plane->desc = *desc;
   plane->log.is_shared = desc->settings->has_requests;
-  plane->backend =
+  plane->backend_state =
       desc->settings->report_port == 0 ? LC_FLOW_BACKEND_OPEN : LC_FLOW_BACKEND_UNAVAILABLE;
   r = lc_agent_flow__open (plane, error);
   if (r < 0)
@@ -539,7 +539,7 @@
 {
   (void)plane;
   (void)frame;
-  lc_link_close (link, "the flow plane talks over UDP");
+  lc_link_close (link, "the flow plane accepts UDP only");
 }
 
 void
@@ -556,7 +556,7 @@
   int64_t limit_us = (int64_t)plane->desc.settings->drain_limit_ms * LC_US_PER_MS;
 
   plane->is_draining = true;
-  plane->hand_over_us = now_us + limit_us / 2;
+  plane->hand_over_at_us = now_us + limit_us / 2;
   if (plane->has_agent)
     lc_flow_agent_leave (&plane->agent);
 }
--- a/src/agent/lc-agent-flow.h
+++ b/src/agent/lc-agent-flow.h
@@ -1,16 +1,16 @@
-/* lc-agent-flow: the flow plane of an agent: owns flows and delivers packets.
+/* lc-agent-flow: flow plane of an agent: owns flows and delivers their packets.
  *
  * WHAT IT IS
- *   The thin task around lc-flow-agent: one UDP port for envelopes and messages, a timer, and the
- *   delivery to the backend server (relay or injection, by the settings).
+ *   The I/O around the state machine lc-flow-agent: a UDP port for envelopes and messages, a timer,
+ *   and the delivery to the backend server (LcAgentDelivery).
  *
  * PLANNED STOP
- *   First packets are refused at once.  Owned flows go on until they end; those left when half of
- *   the drain limit has passed are handed over to agents that go on delivering to this agent's
- *   backend server.  When no other endpoint is left, they are cut with a warning.
+ *   First packets are refused at once.  Owned flows continue until they end; those left after half
+ *   of the drain limit are handed over to agents that go on delivering to this agent's backend
+ *   server.  If the service has no other endpoint, they are cut with a warning.
  *
  * THREADS
- *   Called on app->loop's thread.
+ *   Call it on app->loop's thread only.
  */
 #ifndef LC_AGENT_FLOW_H
 #define LC_AGENT_FLOW_H
@@ -37,61 +37,61 @@
 {
   LcAgentFlowDesc desc;
   LcFlowAgent agent;
-  bool has_agent; /* the endpoint is committed: its id and service are known */
+  bool has_agent; /* the endpoint is committed: id and service are known */
   LcDatagram port;
-  LcDatagram outbound; /* from the backend server: its answers, and what it returns */
+  LcDatagram outbound; /* packets from the backend server: answers and returned ones */
   bool has_outbound;
   LcAgentRelay relay;
   LcAgentInject inject;
-  LcAgentHeld held;     /* packets that wait for a free slot of the backend server */
-  LcAgentHeld searched; /* packets whose owners are searched for, by place */
+  LcAgentHeld held;      /* packets that wait for a free slot, by flow */
+  LcAgentHeld searching; /* packets whose owner is searched for, by search slot */
   LcTimer timer;
   LcFlowMeter meter;
-  uint64_t burned[LC_N_BURN_COUNTERS]; /* totals already brought to app->burn */
+  uint64_t burn_added[LC_N_BURN_COUNTERS]; /* totals already added to app->burn */
   LcMetric *open_flows;
-  LcMetric *at_work;
+  LcMetric *in_flight;
   LcMetric *open_us;
   LcMetric *answer_us;
   LcMetric *late_total;
   LcFlowLog log;
   bool is_draining;
-  LcFlowBackendState backend;
-  bool is_leaving;    /* the backend server takes nothing new */
-  bool is_fresh;      /* it began under this process, which knows all its flows */
-  bool is_cold;       /* its service's rate for cold ones holds */
-  bool is_evacuated;  /* as the view last said of its data centre */
-  LcInstance started; /* the start that it reported */
-  bool has_given_up;  /* nobody is left to take over: waiting longer would save nothing */
-  int64_t hand_over_us;
+  LcFlowBackendState backend_state;
+  bool is_backend_leaving;     /* the backend server accepts no new flows */
+  bool is_backend_fresh;       /* it started after this process, which has all its flows */
+  bool is_cold;                /* the service's rate limit for cold servers applies */
+  bool is_evacuated;           /* its data centre is, in the newest view */
+  LcInstance backend_instance; /* the start that it reported */
+  bool has_given_up;           /* no successor: waiting longer would save no flow */
+  int64_t hand_over_at_us;
   uint64_t malformed_total;
   uint64_t message_bytes_total;
   LcLogLimit malformed_limit;
   LcLogLimit expired_limit;
-  uint64_t expired_logged; /* searches that ended without a result, and were logged */
+  uint64_t logged_expired_total; /* searches without a result that were logged */
 } LcAgentFlow;
 
 int lc_agent_flow_init (LcAgentFlow *plane, const LcAgentFlowDesc *desc, LcError *error);
 void lc_agent_flow_finish (LcAgentFlow *plane);
-/* After each batch of operations; `is_reset` says that the whole view was replaced. */
+/* Call it after each batch of view operations. */
 void lc_agent_flow_view (
     LcAgentFlow *plane, const LcView *view, const LcViewOp *ops, size_t n_ops, bool is_reset);
-/* A frame of this plane's range that the peer server received. */
+/* Closes the link: this plane accepts UDP only. */
 void lc_agent_flow_frame (LcAgentFlow *plane, LcLink *link, const LcFrame *frame);
 void lc_agent_flow_link_down (LcAgentFlow *plane, LcLink *link);
-/* A planned stop begins: take nothing new, let what runs end. */
+/* Begins a planned stop: refuses new flows, lets open ones end. */
 void lc_agent_flow_drain (LcAgentFlow *plane);
 bool lc_agent_flow_is_idle (const LcAgentFlow *plane);
-/* The backend server leaves: no new flow from now on, what it has stays with it. */
+/* The backend server is leaving: refuses new flows; it keeps the ones that it has. */
 void lc_agent_flow_leave (LcAgentFlow *plane);
-/* The backend server has started as this instance: unless that is the one known, nothing is left of
- * the flows and requests before it, of its failures, or of its leaving.  `is_new`: nothing but this
- * process can have given it flows (lc_backend_report_is_new_start). */
+/* The backend server has started as this instance: it is not leaving, and unless this is the
+ * present instance, flows, requests and failures of the earlier start are dropped.  `is_new`: only
+ * this process can have given it flows (lc_backend_report_is_new_start). */
 void lc_agent_flow_backend_started (LcAgentFlow *plane, LcInstance instance, bool is_new);
-/* Whether the backend server is cold still, or may be. */
+/* Whether the backend server is, or may be, in its slow start. */
 void lc_agent_flow_set_cold (LcAgentFlow *plane, bool is_cold);
-/* What the backend server has reported of itself. */
+/* Sets the backend server's state, as derived from its reports. */
 void lc_agent_flow_set_backend (LcAgentFlow *plane, LcFlowBackendState backend);
-/* The newest view revision with whose homes every owned flow is registered; 0: none yet. */
+/* The newest view revision whose homes have every owned flow registered; 0: none yet. */
 LcRevision lc_agent_flow_registered (const LcAgentFlow *plane);
 
 #endif
--- a/src/agent/lc-agent-held.h
+++ b/src/agent/lc-agent-held.h
@@ -1,23 +1,23 @@
-/* lc-agent-held: packets that wait beside the backend server until it has a free slot.
+/* lc-agent-held: bounded packet store, first in, first out for each flow.
  *
  * WHAT IT IS
- *   The bytes of what LC_FLOW_ACTION_HOLD keeps, by flow.  lc-flow-gate decides how long; a copy
- *   that its caller sends meanwhile is not kept twice.
+ *   Stores packets of LC_FLOW_ACTION_HOLD, by flow, until lc-flow-gate passes or drops them, and of
+ *   LC_FLOW_ACTION_SEARCH, by search slot.  A retransmitted copy is not stored twice.
  *
  * HOW TO USE IT
  *     if (!lc_agent_held_put (&held, flow, bytes, len))
- *       it is lost, as in a full queue: its caller sends it again
+ *       it is lost, as in a full queue: its caller retransmits it
  *     while ((packet = lc_agent_held_take (&held, flow)) != NULL)
  *       send packet->bytes
  *     lc_agent_held_drop (&held, flow);
  *     lc_agent_held_finish (&held);
  *
  * LIFETIME
- *   Zero is an empty one.  What `take` returns is valid until the next call.
+ *   All zeros are an empty store.  What `take` returns is valid until the next call.
  *
  * LIMITS
- *   LC_AGENT_HELD_MAX packets of at most LC_AGENT_HELD_BYTES bytes: two for each of the requests
- *   that may wait.  Memory is taken as it is needed and kept.
+ *   LC_AGENT_HELD_MAX packets of at most LC_AGENT_HELD_BYTES bytes: two for each request that may
+ *   wait.  Memory grows on demand and is kept until `finish`.
  */
 #ifndef LC_AGENT_HELD_H
 #define LC_AGENT_HELD_H
@@ -29,7 +29,7 @@
 enum
 {
   LC_AGENT_HELD_MAX = 512,
-  LC_AGENT_HELD_BYTES = 1248, /* head and data of the longest packet of the returning format */
+  LC_AGENT_HELD_BYTES = 1248, /* longest packet with its header, LC_PACKET_RETURNING format */
 };
 
 typedef struct
@@ -41,13 +41,13 @@
 
 typedef struct
 {
-  GArray *packets; /* LcAgentHeldPacket, in the order in which they came; NULL: none yet */
+  GArray *packets; /* LcAgentHeldPacket, oldest first; NULL: none yet */
   LcAgentHeldPacket taken;
   uint64_t full_total;
 } LcAgentHeld;
 
 bool lc_agent_held_put (LcAgentHeld *held, uint32_t flow, const uint8_t *bytes, size_t len);
-/* The oldest of the flow, or NULL. */
+/* Removes and returns the flow's oldest; NULL: none. */
 LcAgentHeldPacket *lc_agent_held_take (LcAgentHeld *held, uint32_t flow);
 void lc_agent_held_drop (LcAgentHeld *held, uint32_t flow);
 void lc_agent_held_finish (LcAgentHeld *held);
--- a/src/agent/lc-agent-inject.c
+++ b/src/agent/lc-agent-inject.c
@@ -11,7 +11,7 @@
 lc_agent_inject_init (LcAgentInject *inject, LcError *error)
 {
   memset (inject, 0, sizeof *inject);
-  /* IPPROTO_RAW implies that the packet brings its own IP header. */
+  /* with IPPROTO_RAW the packet contains its IP header */
   inject->fd = socket (AF_INET, SOCK_RAW | SOCK_NONBLOCK | SOCK_CLOEXEC, IPPROTO_RAW);
   if (inject->fd < 0)
     return lc_error_set (error, LC_ERR_IO,
--- a/src/agent/lc-agent-inject.h
+++ b/src/agent/lc-agent-inject.h
@@ -1,8 +1,8 @@
-/* lc-agent-inject: hands a caller's packet to the backend server as it is, but for its target.
+/* lc-agent-inject: delivers a caller's packets to the backend server by destination NAT.
  *
  * WHAT IT IS
- *   A raw IPv4 socket (needs CAP_NET_RAW).  The packet's source stays the caller, so the backend
- *   server answers the caller directly and the answer passes neither agent nor balancer.
+ *   A raw IPv4 socket (needs CAP_NET_RAW).  The source address stays the caller's, so the backend
+ *   server answers the caller directly, past agent and balancer (direct server return).
  *
  * HOW TO USE IT
  *     lc_agent_inject_init (&inject, &error);
--- a/src/agent/lc-agent-relay.c
+++ b/src/agent/lc-agent-relay.c
@@ -7,8 +7,8 @@
 
 enum
 {
-  LC_AGENT_RELAY_SWEEP = 512, /* slots looked at a call */
-  LC_AGENT_RELAY_READS = 32,  /* answers read before other events get their turn */
+  LC_AGENT_RELAY_SWEEP = 512, /* slots checked a call */
+  LC_AGENT_RELAY_READS = 32,  /* answers read before other events are handled */
 };
 
 typedef struct
@@ -60,7 +60,7 @@
   to.sin_addr.s_addr = htonl (s->backend_ipv4);
   if (bind (fd, (struct sockaddr *)&from, sizeof from) < 0)
     {
-      /* A port handed over with the flow may be taken here: any other one will do. */
+      /* the port handed over with the flow may be in use here: any other one works */
       from.sin_port = 0;
       (void)bind (fd, (struct sockaddr *)&from, sizeof from);
     }
@@ -137,7 +137,7 @@
     }
 }
 
-/* A slot is reused after a sweep: it counts only if it still is this flow's. */
+/* A slot may be reused after a sweep, so the key is compared. */
 static LcAgentRelaySocket *
 lc_agent_relay__find (const LcAgentRelay *r, uint32_t slot, const LcFlowKey *key)
 {
--- a/src/agent/lc-agent-report.c
+++ b/src/agent/lc-agent-report.c
@@ -22,9 +22,9 @@
 }
 
 static void
-lc_agent_report__log (const LcBackendReport *r, LcBackendUpdate news)
+lc_agent_report__log (const LcBackendReport *r, LcBackendUpdate update)
 {
-  LC_INFO (news == LC_BACKEND_STARTED ? "backend.started" : "backend.changed", "backend",
+  LC_INFO (update == LC_BACKEND_STARTED ? "backend.started" : "backend.changed", "backend",
            LC_STR (r->id), "state", LC_STR (lc_agent_report__state_name (r->state)), "sequence",
            LC_U64 (r->sequence), "born_ms", LC_U64 (r->born_ms), "slots", LC_U64 (r->slots),
            "cold_ms", LC_U64 (r->cold_ms));
@@ -33,10 +33,10 @@
 static void
 lc_agent_report__take (LcAgentReport *self, const LcBackendReport *r)
 {
-  LcBackendUpdate news = lc_backend_status_apply (&self->status, r, lc_clock_now_us ());
+  LcBackendUpdate update = lc_backend_status_apply (&self->status, r, lc_clock_now_us ());
 
   lc_metric_add (self->reports_total, 1);
-  switch (news)
+  switch (update)
     {
     case LC_BACKEND_UNCHANGED:
       break;
@@ -45,8 +45,8 @@
       break;
     case LC_BACKEND_STARTED:
     case LC_BACKEND_CHANGED:
-      lc_agent_report__log (r, news);
-      self->desc.news (self->desc.user, news, r);
+      lc_agent_report__log (r, update);
+      self->desc.on_update (self->desc.user, update, r);
       break;
     }
 }
--- a/src/agent/lc-agent-report.h
+++ b/src/agent/lc-agent-report.h
@@ -1,18 +1,18 @@
-/* lc-agent-report: where the backend server beside this agent reports itself.
+/* lc-agent-report: HTTP endpoint for the state reports of this agent's backend server.
  *
  * WHAT IT IS
- *   A listener for the reports, the newest word of the backend server, and a call back for what it
- *   changed.  Each report is answered at once: from the answer to "draining" on, this agent itself
+ *   Listens for reports, keeps the newest one (lc-backend-status) and calls back when it changes
+ *   something.  A report is applied before it is answered: once "draining" is answered, this agent
  *   refuses new flows, whatever balancers send it.
  *
  * HOW TO USE IT
- *     LcAgentReportDesc desc = { .app = &app, .settings = &settings, .user = me, .news = on_news };
+ *     desc = (LcAgentReportDesc){ &app, &settings, me, on_update };
  *     lc_agent_report_init (&report, &desc, &error);
  *     lc_backend_status_is_available (&report.status, now_us)
  *     lc_agent_report_finish (&report);
  *
  * THREADS
- *   Called on app->loop's thread.
+ *   Call it on app->loop's thread only.
  */
 #ifndef LC_AGENT_REPORT_H
 #define LC_AGENT_REPORT_H
@@ -28,7 +28,7 @@
   const LcAgentSettings *settings;
   void *user;
   /* LC_BACKEND_STARTED or LC_BACKEND_CHANGED; called before the report is answered. */
-  void (*news) (void *user, LcBackendUpdate news, const LcBackendReport *report);
+  void (*on_update) (void *user, LcBackendUpdate update, const LcBackendReport *report);
 } LcAgentReportDesc;
 
 typedef struct
@@ -43,7 +43,7 @@
   LcLogLimit log_limit;
 } LcAgentReport;
 
-/* Without a report port it does nothing. */
+/* Does not listen if report_port is 0. */
 int lc_agent_report_init (LcAgentReport *report, const LcAgentReportDesc *desc, LcError *error);
 void lc_agent_report_finish (LcAgentReport *report);
 
--- a/src/agent/lc-agent-request-private.h
+++ b/src/agent/lc-agent-request-private.h
@@ -1,9 +1,9 @@
-/* lc-agent-request-private: what the parts of lc-agent-request share.
+/* lc-agent-request-private: declarations shared by the sources of lc-agent-request.
  *
  * WHAT IT IS
- *   lc-agent-request.c   attempts in, runs, time
- *   lc-agent-send.c      frames to balancers and other agents
- *   lc-agent-claims.c    frames about claims from other agents, and the file of claims
+ *   lc-agent-request.c   incoming attempts, runs, timer
+ *   lc-agent-send.c      outgoing frames to balancers and other agents
+ *   lc-agent-claims.c    incoming frames about claims, and the claim file
  */
 #ifndef LC_AGENT_REQUEST_PRIVATE_H
 #define LC_AGENT_REQUEST_PRIVATE_H
@@ -22,18 +22,18 @@
 
 #define LC_AGENT_REPORT_EVERY_US LC_US_PER_S
 
-/* A run's request, and its call once it was started. */
+/* A run's request, and its call to the backend server while that is open. */
 typedef struct
 {
   LcAgentRequest *plane;
   uint64_t run_id;
   LcPartial *payload;
   int64_t deadline_us;
-  int64_t started_us; /* when it was given to the backend server */
+  int64_t started_us; /* when it was sent to the backend server */
   LcBackendCall *call;
 } LcAgentCall;
 
-/* Carries out what the core has decided. */
+/* Executes all queued actions. */
 void lc_agent_request__act (LcAgentRequest *plane);
 int lc_agent_request__open_claims (LcAgentRequest *plane, LcError *error);
 void lc_agent_request__close_claims (LcAgentRequest *plane);
--- a/src/agent/lc-agent-request.c
+++ b/src/agent/lc-agent-request.c
@@ -23,9 +23,9 @@
                             int64_t now_us)
 {
   line.kind = kind;
-  line.id = call->payload->ask.id;
+  line.id = call->payload->attempt_id.id;
   line.key = (LcRequestKey){ call->payload->head->key_hi, call->payload->head->key_lo };
-  line.attempt = call->payload->ask.attempt;
+  line.attempt = call->payload->attempt_id.attempt;
   line.left_us = call->deadline_us - now_us;
   lc_request_log (&plane->log, &line, now_us);
 }
@@ -59,7 +59,7 @@
       (LcRequestLogLine){ .why = why, .took_us = now_us - call->started_us }, now_us);
 }
 
-/* A copy that brings no run of its own and is told nothing yet. */
+/* Logs an attempt that joins another copy's run, or is a duplicate. */
 static void
 lc_agent_request__log_joined (LcAgentRequest *plane,
                               const LcAgentAttempt *attempt,
@@ -90,7 +90,7 @@
   lc_request_log (&plane->log, &line, now_us);
 }
 
-/* === private: the end of calls ============================================================== */
+/* === private: actions ======================================================================= */
 
 static void
 lc_agent_request__on_end (void *user, LcRunResult how, LcAnswer *answer)
@@ -178,7 +178,7 @@
     }
 }
 
-/* Carrying an action out may bring more: only the outermost call takes them. */
+/* Executing an action may queue more: only the outermost call takes them. */
 void
 lc_agent_request__act (LcAgentRequest *plane)
 {
@@ -196,20 +196,20 @@
   plane->is_busy = false;
 }
 
-/* === private: attempts in =================================================================== */
+/* === private: incoming attempts============================================================== */
 
 static void
-lc_agent_request__refuse_malformed (LcAgentRequest *plane, const LcAttemptId *ask)
+lc_agent_request__refuse_malformed (LcAgentRequest *plane, const LcAttemptId *attempt_id)
 {
   LcAgentAction action = { .kind = LC_AGENT_REFUSE };
 
   lc_agent_request__malformed (plane, LC_FRAME_ATTEMPT_HEAD);
-  action.refuse.attempt_id = *ask;
+  action.refuse.attempt_id = *attempt_id;
   action.refuse.reason = LC_REFUSE_MALFORMED;
   lc_agent_request__send_refuse (plane, &action);
 }
 
-/* Takes the partial attempt, which is whole. */
+/* Submits a completely received attempt; takes ownership of `partial`. */
 static void
 lc_agent_request__decide (LcAgentRequest *plane, LcPartial *partial, int64_t now_us)
 {
@@ -221,7 +221,7 @@
 
   if (!lc_partial_is_sound (partial))
     {
-      lc_agent_request__refuse_malformed (plane, &partial->ask);
+      lc_agent_request__refuse_malformed (plane, &partial->attempt_id);
       lc_partial_free (partial);
       return;
     }
@@ -246,7 +246,7 @@
 {
   Lc__Request__AttemptHead *head =
       lc__request__attempt_head__unpack (NULL, frame->payload_len, frame->payload);
-  LcAttemptId ask = { .link_id = lc_link_id (link) };
+  LcAttemptId attempt_id = { .link_id = lc_link_id (link) };
   LcPartial *partial;
 
   if (head == NULL)
@@ -254,22 +254,22 @@
       lc_agent_request__malformed (plane, frame->type);
       return;
     }
-  ask.id = (LcRequestId){ head->id_hi, head->id_lo };
-  ask.attempt = head->attempt;
-  partial = lc_partial_new (ask.link_id, head);
+  attempt_id.id = (LcRequestId){ head->id_hi, head->id_lo };
+  attempt_id.attempt = head->attempt;
+  partial = lc_partial_new (attempt_id.link_id, head);
   if (partial == NULL ||
       plane->partial_bytes + partial->head->body_length > LC_AGENT_MAX_PARTIAL_BYTES)
     {
       if (partial != NULL)
         lc_partial_free (partial);
-      lc_agent_request__refuse_malformed (plane, &ask);
+      lc_agent_request__refuse_malformed (plane, &attempt_id);
     }
   else if (lc_partial_is_whole (partial))
     lc_agent_request__decide (plane, partial, lc_clock_now_us ());
-  else if (!g_hash_table_contains (plane->partial, &partial->ask))
+  else if (!g_hash_table_contains (plane->partial, &partial->attempt_id))
     {
       plane->partial_bytes += partial->head->body_length;
-      g_hash_table_insert (plane->partial, &partial->ask, partial);
+      g_hash_table_insert (plane->partial, &partial->attempt_id, partial);
     }
   else
     lc_partial_free (partial);
@@ -280,7 +280,7 @@
 {
   Lc__Request__AttemptBody *part =
       lc__request__attempt_body__unpack (NULL, frame->payload_len, frame->payload);
-  LcAttemptId ask = { .link_id = lc_link_id (link) };
+  LcAttemptId attempt_id = { .link_id = lc_link_id (link) };
   LcPartial *partial;
   bool is_good;
 
@@ -289,22 +289,22 @@
       lc_agent_request__malformed (plane, frame->type);
       return;
     }
-  ask.id = (LcRequestId){ part->id_hi, part->id_lo };
-  ask.attempt = part->attempt;
-  partial = g_hash_table_lookup (plane->partial, &ask);
+  attempt_id.id = (LcRequestId){ part->id_hi, part->id_lo };
+  attempt_id.attempt = part->attempt;
+  partial = g_hash_table_lookup (plane->partial, &attempt_id);
   is_good = partial != NULL && lc_partial_add (partial, part);
   lc__request__attempt_body__free_unpacked (part, NULL);
   if (partial == NULL || (is_good && !lc_partial_is_whole (partial)))
     return;
   plane->partial_bytes -= partial->head->body_length;
-  g_hash_table_steal (plane->partial, &ask);
+  g_hash_table_steal (plane->partial, &attempt_id);
   if (is_good)
     {
       lc_agent_request__decide (plane, partial, lc_clock_now_us ());
       return;
     }
   lc_partial_free (partial);
-  lc_agent_request__refuse_malformed (plane, &ask);
+  lc_agent_request__refuse_malformed (plane, &attempt_id);
 }
 
 static void
@@ -312,7 +312,7 @@
 {
   Lc__Request__Cancel *cancel =
       lc__request__cancel__unpack (NULL, frame->payload_len, frame->payload);
-  LcAttemptId ask = { .link_id = lc_link_id (link) };
+  LcAttemptId attempt_id = { .link_id = lc_link_id (link) };
   LcPartial *partial;
 
   if (cancel == NULL)
@@ -320,19 +320,19 @@
       lc_agent_request__malformed (plane, frame->type);
       return;
     }
-  ask.id = (LcRequestId){ cancel->id_hi, cancel->id_lo };
-  ask.attempt = cancel->attempt;
+  attempt_id.id = (LcRequestId){ cancel->id_hi, cancel->id_lo };
+  attempt_id.attempt = cancel->attempt;
   lc__request__cancel__free_unpacked (cancel, NULL);
-  partial = g_hash_table_lookup (plane->partial, &ask);
+  partial = g_hash_table_lookup (plane->partial, &attempt_id);
   if (partial != NULL)
     {
       plane->partial_bytes -= partial->head->body_length;
-      g_hash_table_remove (plane->partial, &ask);
+      g_hash_table_remove (plane->partial, &attempt_id);
     }
-  lc_request_agent_handle_cancel (&plane->core, &ask, lc_clock_now_us ());
+  lc_request_agent_handle_cancel (&plane->core, &attempt_id, lc_clock_now_us ());
 }
 
-/* === private: time ========================================================================== */
+/* === private: timer ========================================================================= */
 
 static const char *const LC_AGENT_REQUEST_NAMES[LC_AGENT_REQUEST_METRICS][2] = {
   { "lychee_request_runs_total", "Requests given to the backend server" },
@@ -368,8 +368,8 @@
 
   for (size_t i = 0; i < LC_AGENT_REQUEST_METRICS; i++)
     {
-      lc_metric_add (plane->metrics[i], values[i] - plane->shown[i]);
-      plane->shown[i] = values[i];
+      lc_metric_add (plane->metrics[i], values[i] - plane->published[i]);
+      plane->published[i] = values[i];
     }
 }
 
@@ -505,7 +505,7 @@
   const LcPartial *partial = value;
 
   (void)key;
-  if (partial->ask.link_id != *(const uint64_t *)((gpointer *)user)[1])
+  if (partial->attempt_id.link_id != *(const uint64_t *)((gpointer *)user)[1])
     return FALSE;
   plane->partial_bytes -= partial->head->body_length;
   return TRUE;
--- a/src/agent/lc-agent-request.h
+++ b/src/agent/lc-agent-request.h
@@ -1,15 +1,15 @@
-/* lc-agent-request: the request plane of an agent: admits requests to slots.
+/* lc-agent-request: request plane of an agent: runs admitted HTTP requests at its backend server.
  *
  * WHAT IT IS
- *   The task around lc-request-agent: frames from balancers and other agents in, calls to the
- *   backend server out.  Attempts are put together from their parts and checked before a decision
- *   is asked for; answers are whole before their first part is sent.
+ *   The I/O around the state machine lc-request-agent: frames from balancers and other agents in,
+ *   requests to the backend server out.  An attempt is reassembled and checked before the state
+ *   machine gets it; an answer is received completely before its first part is sent.
  *
  * THREADS
- *   Called on app->loop's thread.
+ *   Call it on app->loop's thread only.
  *
  * LIMITS
- *   A body has at most LC_REQUEST_MAX_BODY bytes; attempts still in parts take at most 64 MiB.
+ *   A body has at most LC_REQUEST_MAX_BODY bytes; partial attempts together at most 64 MiB.
  */
 #ifndef LC_AGENT_REQUEST_H
 #define LC_AGENT_REQUEST_H
@@ -44,32 +44,32 @@
   LcClaimFile claims;
   bool has_claims_file; /* a data folder is set */
   LcBackendClient backend;
-  LcPeerPool peers;    /* other agents: claims */
-  GHashTable *links;   /* link id -> LcLink, of balancers and agents that connected to us */
-  GHashTable *partial; /* attempts whose body is still coming */
-  GHashTable *runs;    /* run id -> private payload and call */
+  LcPeerPool peers;    /* links to other agents, for claims */
+  GHashTable *links;   /* link id -> LcLink, of balancers and agents */
+  GHashTable *partial; /* attempt id -> LcPartial: body not complete */
+  GHashTable *runs;    /* run id -> LcAgentCall */
   uint64_t partial_bytes;
   LcTimer timer;
   int64_t reported_us;
   LcMetric *metrics[LC_AGENT_REQUEST_METRICS];
-  uint64_t shown[LC_AGENT_REQUEST_METRICS];
+  uint64_t published[LC_AGENT_REQUEST_METRICS]; /* added to `metrics` */
   uint64_t malformed_total;
   LcLogLimit log_limit;
   LcRequestLog log;
-  bool is_busy; /* actions are being carried out */
+  bool is_busy; /* lc_agent_request__act is active */
 } LcAgentRequest;
 
 int lc_agent_request_init (LcAgentRequest *plane, const LcAgentRequestDesc *desc, LcError *error);
 void lc_agent_request_finish (LcAgentRequest *plane);
-/* After each batch of operations; `is_reset` says that the whole view was replaced. */
+/* Call it after each batch of view operations; `is_reset`: the whole view was replaced. */
 void lc_agent_request_view (
     LcAgentRequest *plane, const LcView *view, const LcViewOp *ops, size_t n_ops, bool is_reset);
-/* A frame of this plane's range that the peer server received. */
+/* Handles a frame of the request plane. */
 void lc_agent_request_frame (LcAgentRequest *plane, LcLink *link, const LcFrame *frame);
 void lc_agent_request_link_down (LcAgentRequest *plane, LcLink *link);
-/* The newest view revision up to which this plane has done its part. */
+/* The newest view revision up to which this agent has synchronised its claims. */
 LcRevision lc_agent_request_registered (const LcAgentRequest *plane);
-/* A planned stop begins: take nothing new, let what runs end. */
+/* Begins a planned stop: refuses new requests, lets running ones end. */
 void lc_agent_request_drain (LcAgentRequest *plane);
 bool lc_agent_request_is_idle (const LcAgentRequest *plane);
 
--- a/src/agent/lc-agent-send.c
+++ b/src/agent/lc-agent-send.c
@@ -33,7 +33,7 @@
   return NULL;
 }
 
-/* A member of the present set or of one that has not settled yet. */
+/* Link to a member of the present candidate set or of an unsettled former one. */
 static LcLink *
 lc_agent_request__member_link (LcAgentRequest *plane, LcMemberRef ref, int64_t now_us)
 {
@@ -101,15 +101,18 @@
 }
 
 static int
-lc_agent_request__send_part (LcLink *link, const LcAttemptId *ask, GBytes *body, size_t offset)
+lc_agent_request__send_part (LcLink *link,
+                             const LcAttemptId *attempt_id,
+                             GBytes *body,
+                             size_t offset)
 {
   Lc__Request__AnswerBody part = LC__REQUEST__ANSWER_BODY__INIT;
   gsize len;
   const uint8_t *data = g_bytes_get_data (body, &len);
 
-  part.id_hi = ask->id.hi;
-  part.id_lo = ask->id.lo;
-  part.attempt = ask->attempt;
+  part.id_hi = attempt_id->id.hi;
+  part.id_lo = attempt_id->id.lo;
+  part.attempt = attempt_id->attempt;
   part.offset = offset;
   part.data.data = (uint8_t *)data + offset;
   part.data.len = MIN (len - offset, LC_REQUEST_PART_BYTES);
@@ -145,27 +148,27 @@
   return r;
 }
 
-/* An answer that can't be sent whole closes the link: the balancer then knows that it is lost. */
+/* Closes the link if the answer can't be sent completely: the balancer then counts it as lost. */
 void
 lc_agent_request__send_answer (LcAgentRequest *plane, const LcAgentAction *action)
 {
-  const LcAttemptId *ask = &action->answer.attempt_id;
-  LcLink *link = lc_agent_request__link (plane, ask->link_id);
+  const LcAttemptId *attempt_id = &action->answer.attempt_id;
+  LcLink *link = lc_agent_request__link (plane, attempt_id->link_id);
   size_t len = g_bytes_get_size (action->answer.answer->body);
   int r;
 
   if (action->answer.is_replayed)
     lc_request_log (&plane->log,
                     &(LcRequestLogLine){ .kind = LC_REQUEST_LOG_REPLAYED,
-                                         .id = ask->id,
-                                         .attempt = ask->attempt,
+                                         .id = attempt_id->id,
+                                         .attempt = attempt_id->attempt,
                                          .status = action->answer.answer->status },
                     lc_clock_now_us ());
   if (link == NULL)
     return;
   r = lc_agent_request__send_head (plane, link, action);
   for (size_t offset = 0; r == 0 && offset < len; offset += LC_REQUEST_PART_BYTES)
-    r = lc_agent_request__send_part (link, ask, action->answer.answer->body, offset);
+    r = lc_agent_request__send_part (link, attempt_id, action->answer.answer->body, offset);
   if (r < 0)
     lc_link_close (link, "an answer could not be sent whole");
 }
--- a/src/agent/lc-backend-client.c
+++ b/src/agent/lc-backend-client.c
@@ -16,7 +16,7 @@
   bool is_head;
   LcBackendEnd on_end;
   void *user;
-  bool *was_freed; /* set while the call is being made */
+  bool *was_freed; /* set while lc_backend_call_new runs */
   uint32_t status;
   GBytes *headers;
   GByteArray *body;
@@ -26,7 +26,7 @@
   uint64_t length;
 };
 
-/* === private: the end ======================================================================= */
+/* === private: completion ==================================================================== */
 
 static void
 lc_backend_call__free (LcBackendCall *call)
@@ -125,7 +125,7 @@
   return g_bytes_new_take (packed, len);
 }
 
-/* === private: h2o's callbacks =============================================================== */
+/* === private: h2o callbacks ================================================================= */
 
 static int
 lc_backend_call__on_body (h2o_http1client_t *client, const char *error)
@@ -176,7 +176,7 @@
   call->headers = lc_backend_call__pack (headers, n_headers);
   if (error == h2o_http1client_error_is_eos)
     {
-      call->has_length = false; /* HEAD, 204 and 304 have no body whatever the header says */
+      call->has_length = false; /* HEAD, 204 and 304 have no body, whatever the header says */
       lc_backend_call__complete (call);
       return NULL;
     }
--- a/src/agent/lc-backend-client.h
+++ b/src/agent/lc-backend-client.h
@@ -1,21 +1,23 @@
-/* lc-backend-client: one HTTP/1.1 request to the backend server, with its whole answer.
+/* lc-backend-client: HTTP/1.1 client for the backend server; one connection a request.
  *
  * WHAT IT IS
- *   Sends a request over a connection of its own and reads the answer to its end.  An answer whose
- *   end can't be checked (neither Content-Length nor chunked), or that ends early, is a failure,
- *   never a short success.  Cancelling closes the connection, which the backend server sees.
+ *   Sends a request and reads the complete answer.  An answer whose end can't be verified (neither
+ *   Content-Length nor chunked), or that ends early, is a failure, never a short success.
+ *   Cancelling closes the connection, which the backend server can detect.
  *
  * HOW TO USE IT
- *     LcBackendCall *call = lc_backend_call_new (&client, request, request_len, is_head, on_end,
- * me); lc_backend_call_cancel (call);          if nobody waits any more: on_end is not called
+ *     lc_backend_client_init (&client, &desc);
+ *     call = lc_backend_call_new (&client, request, is_head, on_end, me);
+ *     lc_backend_call_cancel (call);          on_end is not called
+ *     lc_backend_client_finish (&client);
  *   `on_end` is called once; the call is freed after it.
  *
  * THREADS
- *   Everything on the loop's thread.
+ *   Call it on the loop's thread only.
  *
  * LIMITS
- *   A connection for each call: an idle connection that the backend server is just closing would
- *   make it uncertain whether a request has run.
+ *   Connections are not reused: if the backend server closes an idle one just then, it is uncertain
+ *   whether the request has run.
  */
 #ifndef LC_BACKEND_CLIENT_H
 #define LC_BACKEND_CLIENT_H
@@ -30,7 +32,7 @@
 {
   h2o_loop_t *loop;
   LcSocketAddress address;
-  uint32_t timeout_ms; /* of connecting and between bytes; 0: 65 000 */
+  uint32_t timeout_ms; /* for the connect and between bytes; 0: 65 000 */
 } LcBackendClientDesc;
 
 typedef struct
@@ -43,14 +45,14 @@
 
 typedef struct LcBackendCall LcBackendCall;
 
-/* `answer` counts with LC_RUN_OK and belongs to the callback. */
+/* `answer` is set with LC_RUN_OK only; the callback owns it. */
 typedef void (*LcBackendEnd) (void *user, LcRunResult how, LcAnswer *answer);
 
 void lc_backend_client_init (LcBackendClient *client, const LcBackendClientDesc *desc);
 void lc_backend_client_finish (LcBackendClient *client);
 
-/* Takes `request` (the whole of head and body).  NULL when the call has failed already; `on_end`
- * was called then. */
+/* Takes ownership of `request` (head and body).  Returns NULL, after calling `on_end`, if it fails
+ * at once. */
 LcBackendCall *lc_backend_call_new (
     LcBackendClient *client, GBytes *request, bool is_head, LcBackendEnd on_end, void *user);
 void lc_backend_call_cancel (LcBackendCall *call);
--- a/src/agent/lc-claim-file.c
+++ b/src/agent/lc-claim-file.c
@@ -134,8 +134,8 @@
   return true;
 }
 
-/* All of the file or nothing: a claim that is missing could be granted again.  Only its last entry
- * may be cut short. */
+/* Decodes all of the file or fails: a claim that is missing could be granted again.  Only the last
+ * entry may be truncated. */
 static bool
 lc_claim_file__read (const LcClaimFile *file,
                      const GByteArray *bytes,
@@ -169,16 +169,16 @@
   return file->desc.disk.append (file->desc.disk.user, name, bytes->data, bytes->len, error);
 }
 
-/* A file that lacks an entry must not be read by anybody. */
+/* Removes the file: it lacks an entry, so no later process may load it. */
 static void
-lc_claim_file__lose (LcClaimFile *file, int64_t retry_us)
+lc_claim_file__lose (LcClaimFile *file, int64_t rewrite_at_us)
 {
   LcError ignored;
 
-  file->is_good = false;
+  file->is_complete = false;
   file->errors_total++;
-  file->retry_us = retry_us;
-  /* Removing needs no space; where even that fails, an empty file counts for nothing, too. */
+  file->rewrite_at_us = rewrite_at_us;
+  /* Removing needs no space; if even that fails, an empty file is not loaded either. */
   if (file->desc.disk.remove (file->desc.disk.user, LC_CLAIM_FILE_NAME, &ignored) < 0)
     (void)file->desc.disk.truncate (file->desc.disk.user, LC_CLAIM_FILE_NAME, 0, &ignored);
 }
@@ -194,21 +194,21 @@
   gpointer value;
   int r;
 
-  lc_claim_sync_progress (&agent->claim_sync, &file->state);
+  lc_claim_sync_progress (&agent->claim_sync, &file->progress);
   lc_claim_file__add_head (bytes, &file->desc);
-  lc_claim_file__add_state (bytes, &file->state);
+  lc_claim_file__add_state (bytes, &file->progress);
   g_hash_table_iter_init (&iter, agent->store.holds);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((const LcClaimRecord *)value)->expires_us > now_us)
       lc_claim_file__add_claim (bytes, value);
-  /* What an attempt before left behind. */
+  /* left behind by a failed rewrite */
   (void)file->desc.disk.remove (file->desc.disk.user, LC_CLAIM_FILE_NEW, error);
   r = lc_claim_file__append (file, LC_CLAIM_FILE_NEW, bytes, error);
   if (r == 0)
     r = file->desc.disk.rename (file->desc.disk.user, LC_CLAIM_FILE_NEW, LC_CLAIM_FILE_NAME, error);
   file->bytes = bytes->len;
-  file->bytes_anew = bytes->len;
-  file->is_good = r == 0;
+  file->compacted_bytes = bytes->len;
+  file->is_complete = r == 0;
   if (r < 0)
     lc_claim_file__lose (file, now_us + LC_CLAIM_FILE_RETRY_US);
   g_byte_array_free (bytes, TRUE);
@@ -218,10 +218,10 @@
 static int
 lc_claim_file__write (LcClaimFile *file, LcError *error)
 {
-  int r = lc_claim_file__append (file, LC_CLAIM_FILE_NAME, file->unwritten, error);
+  int r = lc_claim_file__append (file, LC_CLAIM_FILE_NAME, file->pending, error);
 
-  file->bytes += file->unwritten->len;
-  g_byte_array_set_size (file->unwritten, 0);
+  file->bytes += file->pending->len;
+  g_byte_array_set_size (file->pending, 0);
   if (r < 0)
     lc_claim_file__lose (file, 0);
   return r;
@@ -234,13 +234,13 @@
 {
   memset (file, 0, sizeof *file);
   file->desc = *desc;
-  file->unwritten = g_byte_array_new ();
+  file->pending = g_byte_array_new ();
 }
 
 void
 lc_claim_file_finish (LcClaimFile *file)
 {
-  g_byte_array_free (file->unwritten, TRUE);
+  g_byte_array_free (file->pending, TRUE);
   memset (file, 0, sizeof *file);
 }
 
@@ -270,9 +270,9 @@
 int
 lc_claim_file_claim (LcClaimFile *file, const LcClaimRecord *hold, LcError *error)
 {
-  if (!file->is_good)
+  if (!file->is_complete)
     return 0;
-  lc_claim_file__add_claim (file->unwritten, hold);
+  lc_claim_file__add_claim (file->pending, hold);
   return lc_claim_file__write (file, error);
 }
 
@@ -284,14 +284,14 @@
 {
   LcClaimProgress state;
 
-  if (!file->is_good && now_us < file->retry_us)
+  if (!file->is_complete && now_us < file->rewrite_at_us)
     return 0;
-  if (!file->is_good || file->bytes > 2 * file->bytes_anew + LC_CLAIM_FILE_SLACK)
+  if (!file->is_complete || file->bytes > 2 * file->compacted_bytes + LC_CLAIM_FILE_SLACK)
     return lc_claim_file__make_anew (file, agent, now_us, error);
   lc_claim_sync_progress (&agent->claim_sync, &state);
-  if (lc_claim_progress_equal (&state, &file->state))
+  if (lc_claim_progress_equal (&state, &file->progress))
     return 0;
-  file->state = state;
-  lc_claim_file__add_state (file->unwritten, &state);
+  file->progress = state;
+  lc_claim_file__add_state (file->pending, &state);
   return lc_claim_file__write (file, error);
 }
--- a/src/agent/lc-claim-file.h
+++ b/src/agent/lc-claim-file.h
@@ -1,26 +1,26 @@
-/* lc-claim-file: the claims of an agent, kept for its next start.
+/* lc-claim-file: append-only log of an agent's claims, for a restart of its process.
  *
  * WHAT IT IS
- *   A file to which each claim is appended as it is granted, read from another home or released,
- *   and with it how far this agent knows them (LcClaimProgress).  A process that is killed has lost
- *   nothing that it had written: the next one goes on as the member that it was.
+ *   Each claim is appended when it is granted, read from another home or released, and so is the
+ *   agent's LcClaimProgress.  A killed process loses nothing that it had written: the next one
+ *   resumes as the same member.
  *
  * HOW TO USE IT
- *     lc_claim_file_init (&file, &(LcClaimFileDesc){ disk, boot_id, "order-desk" });
- *     lc_claim_file_load (&file, &agent, now_us, &error);      an agent that has just been made
- *     lc_claim_file_claim (&file, &hold);                      before the grant is sent
- *     lc_claim_file_settle (&file, &agent, now_us);            after each batch of decisions
- *   A file that could not be written is removed at once, and made anew by a later
- *   lc_claim_file_settle: it never lacks a claim.
+ *     lc_claim_file_init (&file, &desc);
+ *     lc_claim_file_load (&file, &agent, now_us, &error);      right after the agent's init
+ *     lc_claim_file_claim (&file, &hold, &error);              before the grant is sent
+ *     lc_claim_file_settle (&file, &agent, now_us, &error);    after each batch of decisions
+ *   The file never lacks a claim: after a failed write it is removed at once, and a later
+ *   lc_claim_file_settle rewrites it.
  *
- * WITHOUT SYNC
- *   What a process has written is read by the next one on the same start of the VM, synced or not.
- *   After a start of the VM any part of it may be missing, so the file counts only under the boot
- *   id that it was begun with.  A last entry that is cut short was never acted upon.
+ * NO FSYNC
+ *   Within one boot of the VM the next process reads everything that was written, even without
+ *   fsync.  After a reboot any part may be missing, so the file is valid only under the boot id in
+ *   its head.  A truncated last entry was never acted upon.
  *
  * LIMITS
- *   The file is made anew when it has grown to twice what its claims need and LC_CLAIM_FILE_SLACK
- *   more: for the 400 000 claims of a full store about 50 MB.
+ *   The file is compacted when it exceeds twice its compacted size plus LC_CLAIM_FILE_SLACK: about
+ *   50 MB for the 400 000 claims of a full store.
  */
 #ifndef LC_CLAIM_FILE_H
 #define LC_CLAIM_FILE_H
@@ -31,40 +31,40 @@
 enum
 {
   LC_CLAIM_FILE_SLACK = 1 << 20,    /* bytes */
-  LC_CLAIM_FILE_RETRY_US = 5000000, /* between attempts to make it anew after an error */
+  LC_CLAIM_FILE_RETRY_US = 5000000, /* between attempts to rewrite it after an error */
 };
 
 typedef struct
 {
   LcDisk disk;
-  char boot_id[64]; /* of this start of the VM */
+  char boot_id[64]; /* of the VM's present boot */
   char service[LC_NAME_MAX];
 } LcClaimFileDesc;
 
 typedef struct
 {
   LcClaimFileDesc desc;
-  GByteArray *unwritten; /* entries of the present batch */
-  LcClaimProgress state; /* as written */
-  uint64_t bytes;        /* in the file */
-  uint64_t bytes_anew;   /* when it was last made anew */
-  int64_t retry_us;      /* when to make it anew after an error */
-  bool is_good;          /* the file holds every claim */
+  GByteArray *pending;      /* encoded entries of the present batch */
+  LcClaimProgress progress; /* as last written */
+  uint64_t bytes;           /* size of the file */
+  uint64_t compacted_bytes; /* its size after the last compaction */
+  int64_t rewrite_at_us;    /* after an error: when to rewrite it */
+  bool is_complete;         /* it holds every claim */
   uint64_t errors_total;
 } LcClaimFile;
 
 void lc_claim_file_init (LcClaimFile *file, const LcClaimFileDesc *desc);
 void lc_claim_file_finish (LcClaimFile *file);
 
-/* Reads what an earlier process has kept into `agent` and makes the file anew.  Returns how many
- * claims there were, or a negative LcErrorCode when the file can't be written. */
+/* Loads the claims and progress of an earlier process into `agent` and rewrites the file.  Returns
+ * the number of claims, or a negative LcErrorCode if the file can't be written. */
 int lc_claim_file_load (LcClaimFile *file, LcRequestAgent *agent, int64_t now_us, LcError *error);
 
-/* Appends a claim as it stands.  It is written when this returns 0. */
+/* Appends the present state of a claim; written when this returns 0. */
 int lc_claim_file_claim (LcClaimFile *file, const LcClaimRecord *hold, LcError *error);
 
-/* Appends how far the agent knows claims, if that has changed, and makes the file anew when it has
- * grown or was lost. */
+/* Appends the agent's LcClaimProgress if it has changed, and rewrites the file if it has grown too
+ * large or a write had failed. */
 int lc_claim_file_settle (LcClaimFile *file,
                           const LcRequestAgent *agent,
                           int64_t now_us,
--- a/src/agent/main.c
+++ b/src/agent/main.c
@@ -17,17 +17,17 @@
   LcLinkServer peers;
   LcHttp admin;
   LcTimer registered_timer;
-  uint64_t began_ms; /* Unix time of this process's start */
-  int64_t stop_us;   /* a planned stop beside a backend server that goes on ends then */
+  uint64_t started_ms; /* Unix time of this process's start */
+  int64_t stop_at_us;  /* when a planned stop ends, if the backend server reports */
 } LcAgentProgram;
 
 enum
 {
   LC_AGENT_REGISTERED_MS = 200,
-  LC_AGENT_STOP_MS = 150, /* until peers have heard that it takes nothing new: two of their ticks */
+  LC_AGENT_STOP_MS = 150, /* for peers to receive its new state: two of their ticks */
 };
 
-/* Whether the backend server reports itself: then it, not this process, is what the view names. */
+/* Whether the backend server reports; the view then lists its instance, not this process's. */
 static bool
 lc_agent__is_reported (const LcAgentProgram *p)
 {
@@ -63,7 +63,7 @@
     lc_agent_request_link_down (&p->request, link);
 }
 
-/* Says up to which revision both planes have done their part; former sets settle by it. */
+/* Sends the revision that both planes are registered at; control settles former sets by it. */
 static void
 lc_agent__set_registered (LcAgentProgram *p)
 {
@@ -79,7 +79,7 @@
   const LcEndpoint *e = lc_member_endpoint (&p->member);
   bool is_candidate = e != NULL && lc_endpoint_is_candidate (e);
 
-  if (p->stop_us != 0)
+  if (p->stop_at_us != 0)
     return LC_FLOW_BACKEND_UNAVAILABLE;
   if (lc_backend_status_is_available (&p->report.status, now_us))
     return LC_FLOW_BACKEND_OPEN;
@@ -111,19 +111,19 @@
 
 /* === the backend server's reports =========================================================== */
 
-/* What a backend server says of leaving is carried out here before it is answered. */
+/* Applies a report before it is answered: a leaving backend server gets no new flow. */
 static void
-lc_agent__on_news (void *user, LcBackendUpdate news, const LcBackendReport *report)
+lc_agent__on_news (void *user, LcBackendUpdate update, const LcBackendReport *report)
 {
   LcAgentProgram *p = user;
 
   LcInstance instance = lc_backend_status_instance (&p->report.status);
 
-  if (news == LC_BACKEND_STARTED)
+  if (update == LC_BACKEND_STARTED)
     {
       lc_member_announce (&p->member, instance, (uint8_t)MIN (report->slots, (uint32_t)UINT8_MAX));
       lc_agent_flow_backend_started (&p->flow, instance,
-                                     lc_backend_report_is_new_start (report, p->began_ms));
+                                     lc_backend_report_is_new_start (report, p->started_ms));
     }
   if (report->state != LC_BACKEND_READY)
     {
@@ -149,14 +149,14 @@
 
 /* === planned stop =========================================================================== */
 
-/* The flows are the backend server's: when only this process stops, the next one finds them there.
- * The endpoint leaves with it only when the backend server has ended. */
+/* The backend server holds the flows: if only this process stops, the next one finds them there.
+ * The endpoint leaves only if the backend server has ended. */
 static void
 lc_agent__on_process_stop (LcAgentProgram *p)
 {
   LcBackendState state = p->report.status.newest.state;
 
-  p->stop_us = lc_clock_now_us () + LC_AGENT_STOP_MS * LC_US_PER_MS;
+  p->stop_at_us = lc_clock_now_us () + LC_AGENT_STOP_MS * LC_US_PER_MS;
   if (state == LC_BACKEND_READY || state == LC_BACKEND_DRAINING)
     lc_member_keep (&p->member);
   lc_agent__note_backend (p);
@@ -184,7 +184,7 @@
   LcAgentProgram *p = user;
 
   if (lc_agent__is_reported (p))
-    return lc_clock_now_us () >= p->stop_us;
+    return lc_clock_now_us () >= p->stop_at_us;
   return lc_member_has_left (&p->member) && lc_agent_flow_is_idle (&p->flow) &&
          (!p->settings.has_requests || lc_agent_request_is_idle (&p->request));
 }
@@ -197,7 +197,7 @@
   return !p->app.is_draining && lc_member_view (&p->member)->revision > 0;
 }
 
-/* The settings name other VMs to start from. */
+/* Applies new addresses of balancers or control VMs. */
 static void
 lc_agent__on_reload (void *user, const void *settings)
 {
@@ -299,7 +299,7 @@
   lc_log_init (p.app.log_level, "lychee-agent", p.settings.name);
   lc_settings_set_ports (p.settings.balancers, p.settings.n_balancers,
                          p.settings.balancers_peer_port);
-  p.began_ms = (uint64_t)(lc_clock_wall_us () / LC_US_PER_MS);
+  p.started_ms = (uint64_t)(lc_clock_wall_us () / LC_US_PER_MS);
   r = lc_agent__start (&p, &error);
   if (r < 0)
     {
