--- a/src/agent/lc-agent-attempt.c
+++ b/src/agent/lc-agent-attempt.c
@@ -127,7 +127,7 @@
   return false;
 }
 
-/* Appends our own headers, which a backend server may use to cancel, for deadlines and in logs. */
+/* Appends our headers, which a backend server may use to cancel, for deadlines and in logs. */
 static void
 lc_partial__append_own (GByteArray *out, const LcPartial *partial, int64_t left_us)
 {
--- a/src/agent/lc-agent-flow-start.c
+++ b/src/agent/lc-agent-flow-start.c
@@ -15,7 +15,7 @@
 
 /* === private: configuration ================================================================= */
 
-/* Packets show when a request and its answer begin, so endpoints are compared by their requests in
+/* Packets show when a request and its answer begin, so endpoints are compared by requests in
  * flight, and the data centre is left only when none of its endpoints has a free slot. */
 static void
 lc_agent_flow__weigh_work (LcFlowAgentDesc *desc)
@@ -99,7 +99,7 @@
   self = (LcCandidate){ e->id, e->ipv4, e->instance, e->flow_port };
   if (plane->has_agent && plane->agent.desc.service_id == e->service_id &&
       plane->agent.desc.self.id == e->id && e->instance == plane->backend_instance)
-    lc_flow_agent_set_identity (&plane->agent, &self); /* started at its backend server's report */
+    lc_flow_agent_set_identity (&plane->agent, &self); /* started by its report */
   else if (e->instance == lc_member_instance (plane->desc.member) ||
            (!plane->has_agent && plane->backend_instance != 0))
     lc_agent_flow__begin (plane, &self, e->service_id, e->dc, now_us);
--- a/src/agent/lc-agent-flow.h
+++ b/src/agent/lc-agent-flow.h
@@ -87,9 +87,9 @@
  * present instance, flows, requests and failures of the earlier start are dropped.  `is_new`: only
  * this process can have given it flows (lc_backend_report_is_new_start). */
 void lc_agent_flow_backend_started (LcAgentFlow *plane, LcInstance instance, bool is_new);
-/* Whether the backend server is, or may be, in its slow start. */
+/* Sets whether it is, or may be, in its slow start. */
 void lc_agent_flow_set_cold (LcAgentFlow *plane, bool is_cold);
-/* Sets the backend server's state, as derived from its reports. */
+/* Sets the state that follows from its reports. */
 void lc_agent_flow_set_backend (LcAgentFlow *plane, LcFlowBackendState backend);
 /* The newest view revision whose homes have every owned flow registered; 0: none yet. */
 LcRevision lc_agent_flow_registered (const LcAgentFlow *plane);
--- a/src/agent/lc-agent-held.h
+++ b/src/agent/lc-agent-held.h
@@ -13,11 +13,11 @@
  *     lc_agent_held_finish (&held);
  *
  * LIFETIME
- *   All zeros are an empty store.  What `take` returns is valid until the next call.
+ *   All zeros: empty.  What `take` returns is valid until the next call.
  *
  * LIMITS
- *   LC_AGENT_HELD_MAX packets of at most LC_AGENT_HELD_BYTES bytes: two for each request that may
- *   wait.  Memory grows on demand and is kept until `finish`.
+ *   LC_AGENT_HELD_MAX packets of at most LC_AGENT_HELD_BYTES bytes: two for each request
+ *   that may wait.  Memory grows on demand and is kept until `finish`.
  */
 #ifndef LC_AGENT_HELD_H
 #define LC_AGENT_HELD_H
--- a/src/agent/lc-agent-request-private.h
+++ b/src/agent/lc-agent-request-private.h
@@ -1,9 +1,9 @@
 /* lc-agent-request-private: declarations shared by the sources of lc-agent-request.
  *
  * WHAT IT IS
- *   lc-agent-request.c   incoming attempts, runs, timer
- *   lc-agent-send.c      outgoing frames to balancers and other agents
- *   lc-agent-claims.c    incoming frames about claims, and the claim file
+ *   lc-agent-request.c          incoming attempts, runs, timer
+ *   lc-agent-send.c     outgoing frames to balancers and other agents
+ *   lc-agent-claims.c   claims of other agents, and the claim file
  */
 #ifndef LC_AGENT_REQUEST_PRIVATE_H
 #define LC_AGENT_REQUEST_PRIVATE_H
--- a/src/agent/lc-agent-request.c
+++ b/src/agent/lc-agent-request.c
@@ -209,7 +209,7 @@
   lc_agent_request__send_refuse (plane, &action);
 }
 
-/* Submits a completely received attempt; takes ownership of `partial`. */
+/* Submits a complete attempt; takes ownership of `partial`. */
 static void
 lc_agent_request__decide (LcAgentRequest *plane, LcPartial *partial, int64_t now_us)
 {
--- a/src/agent/lc-claim-file.h
+++ b/src/agent/lc-claim-file.h
@@ -8,7 +8,7 @@
  * HOW TO USE IT
  *     lc_claim_file_init (&file, &desc);
  *     lc_claim_file_load (&file, &agent, now_us, &error);      right after the agent's init
- *     lc_claim_file_claim (&file, &hold, &error);              before the grant is sent
+ *     lc_claim_file_claim (&file, &hold, &error);             before the grant is sent
  *     lc_claim_file_settle (&file, &agent, now_us, &error);    after each batch of decisions
  *   The file never lacks a claim: after a failed write it is removed at once, and a later
  *   lc_claim_file_settle rewrites it.
@@ -30,7 +30,7 @@
 
 enum
 {
-  LC_CLAIM_FILE_SLACK = 1 << 20,    /* bytes */
+  LC_CLAIM_FILE_SLACK = 1 << 20,    /* bytes: see LIMITS */
   LC_CLAIM_FILE_RETRY_US = 5000000, /* between attempts to rewrite it after an error */
 };
 
