--- a/src/io/lc-app.c
+++ b/src/io/lc-app.c
@@ -10,14 +10,13 @@
 
 enum
 {
-  LC_APP_LOOP_WAIT_MS = 50, /* how late a signal or an idle state may be noticed */
+  LC_APP_LOOP_WAIT_MS = 50, /* bounds the delay until a signal or idleness is noticed */
   LC_APP_MAX_ERRORS = 20,
-  LC_APP_LOOK_MS = 2000, /* between looks at the settings file: a change counts within seconds */
+  LC_APP_LOOK_MS = 2000, /* period of checking the settings file for changes */
 };
 
-/* Signals can only reach a global; it counts them. */
+/* Counts of signals; a signal handler can only reach globals. */
 static volatile sig_atomic_t lc_app__signals;
-
 static volatile sig_atomic_t lc_app__hang_ups;
 
 static void
@@ -75,7 +74,7 @@
   return r;
 }
 
-/* 0 when the file can't be read. */
+/* 0 if the file can't be read; a hash is never 0. */
 static uint64_t
 lc_app__hash_file (const LcApp *app)
 {
@@ -207,35 +206,35 @@
 static void
 lc_app__reload (LcApp *app, void *user)
 {
-  void *fresh = g_malloc0 (app->desc.schema->size);
+  void *settings = g_malloc0 (app->desc.schema->size);
   LcError error = { 0 };
 
-  if (lc_app__read (app, fresh, &error) < 0)
+  if (lc_app__read (app, settings, &error) < 0)
     LC_WARN ("app.reload-refused", "message", LC_STR (error.message), "remedy",
-             LC_STR (error.remedy), "meaning", LC_STR ("the settings read before stay in force"));
+             LC_STR (error.remedy), "meaning", LC_STR ("the previous settings stay in force"));
   else
     {
       LC_INFO ("app.reloaded", "is_used", LC_U64 (app->desc.reload != NULL));
       if (app->desc.reload != NULL)
-        app->desc.reload (user, fresh);
+        app->desc.reload (user, settings);
     }
-  g_free (fresh);
+  g_free (settings);
 }
 
-/* A hang-up reads the file again; without one it is looked at now and then. */
+/* Reloads on SIGHUP, or when the periodic check finds the file changed. */
 static void
 lc_app__reload_due (LcApp *app, void *user)
 {
   int64_t now_us = lc_clock_now_us ();
-  bool is_asked = lc_app__hang_ups > 0;
+  bool is_requested = lc_app__hang_ups > 0;
   uint64_t hash;
 
-  if (!is_asked && now_us < app->look_us)
+  if (!is_requested && now_us < app->next_check_us)
     return;
   lc_app__hang_ups = 0;
-  app->look_us = now_us + LC_APP_LOOK_MS * LC_US_PER_MS;
+  app->next_check_us = now_us + LC_APP_LOOK_MS * LC_US_PER_MS;
   hash = lc_app__hash_file (app);
-  if (!is_asked && (hash == 0 || hash == app->settings_hash))
+  if (!is_requested && (hash == 0 || hash == app->settings_hash))
     return;
   app->settings_hash = hash;
   lc_app__reload (app, user);
--- a/src/io/lc-app.h
+++ b/src/io/lc-app.h
@@ -1,9 +1,8 @@
-/* lc-app: what every daemon has around its planes.
+/* lc-app: the frame of a daemon: options, settings, event loop, reload and shutdown.
  *
  * WHAT IT IS
  *   Command line (--settings FILE, --check, --print-settings, --log-level, --help, --version),
- *   settings, logging, event loop, metrics, admin HTTP port, peer server, and graceful shutdown on
- *   SIGTERM or SIGINT.
+ *   settings, signals, event loop, metrics and graceful shutdown on SIGTERM or SIGINT.
  *
  * HOW TO USE IT (the main of a program)
  *     LcApp app;
@@ -11,19 +10,19 @@
  *     int r = lc_app_init (&app, &desc, argc, argv);   parses, loads, opens nothing yet
  *     if (r != LC_APP_RUN)
  *       return lc_app_exit_code (r);
- *     ... init planes on app.loop ...
- *     lc_app_run (&app, user, on_drain, is_idle);       until a signal, then drain, then idle
- *     ... finish planes ...
+ *     ... init the modules on app.loop ...
+ *     lc_app_run (&app, user, drain_limit_ms, on_drain, is_idle);
+ *     ... finish the modules ...
  *     lc_app_finish (&app);
  *
  * RELOAD
- *   At SIGHUP, and when the file is found changed (looked at every LC_APP_LOOK_MS), the settings
- * are read and checked whole.  A file that does not pass changes nothing; one that passes is given
- * to desc.reload, which says by its log lines what it takes over.  Both are one line.
+ *   On SIGHUP, and when the file's content has changed (checked every LC_APP_LOOK_MS), the settings
+ *   are read and validated as a whole.  Invalid settings are logged and change nothing; valid ones
+ *   are logged and passed to desc.reload, which logs what it applies.
  *
  * SHUTDOWN
- *   At the first signal `on_drain (user)` is called once; the loop goes on until `is_idle (user)`
- *   or drain_limit_ms has passed (then it logs what was cut).  A second signal ends the wait.
+ *   The first signal calls `on_drain (user)`; the loop runs on until `is_idle (user)` or until
+ *   drain_limit_ms has passed, which is logged.  A second signal ends the wait.
  *
  * EXIT CODES
  *   0 done, 1 failed, 2 usage or settings.
@@ -40,7 +39,7 @@
 
 enum
 {
-  LC_APP_RUN = 1,  /* go on */
+  LC_APP_RUN = 1,  /* start the program */
   LC_APP_DONE = 0, /* --help, --version, --check and --print-settings: exit 0 */
 };
 
@@ -49,8 +48,8 @@
   const char *program;
   const LcSettingsSchema *schema;
   void *settings;                              /* the program's struct, filled from the file */
-  const char *(*check) (const void *settings); /* cross-field check: NULL or what is wrong */
-  /* New settings that passed; NULL: what has changed counts from the next start. */
+  const char *(*check) (const void *settings); /* across fields: NULL or the error */
+  /* Applies new valid settings; NULL: changes take effect at the next start. */
   void (*reload) (void *user, const void *settings);
 } LcAppDesc;
 
@@ -62,15 +61,15 @@
   LcBurnRecorder burn; /* see lc_burn_identify */
   char settings_path[256];
   LcLogLevel log_level;
-  uint64_t settings_hash; /* of the file as it was read last */
-  int64_t look_us;        /* when to look at the file again */
+  uint64_t settings_hash; /* of the file's content when it was last read */
+  int64_t next_check_us;  /* of the settings file */
   bool is_draining;
   int64_t drain_deadline_us;
 } LcApp;
 
 int lc_app_init (LcApp *app, const LcAppDesc *desc, int argc, char **argv);
 int lc_app_exit_code (int r);
-/* Returns 0 when idle was reached, -1 when the drain limit cut something. */
+/* Runs until a signal, then drains: 0 when idle, -1 when the drain was cut short. */
 int lc_app_run (LcApp *app,
                 void *user,
                 uint32_t drain_limit_ms,
--- a/src/io/lc-burn-recorder.c
+++ b/src/io/lc-burn-recorder.c
@@ -44,7 +44,8 @@
   lc_timer_start (&burn->timer, LC_BURN_TICK_MS);
 }
 
-/* A service's first sample is zero at the process's start, so that its first minute is exact. */
+/* Gets or adds a service.  Its first sample is zero at the process's start, so that rates over its
+ * first minute are exact. */
 static LcBurnService *
 lc_burn__service (LcBurnRecorder *burn, const char *name)
 {
@@ -106,7 +107,7 @@
 
 /* === private: JSON ========================================================================== */
 
-/* Names are checked where they enter the system; what JSON can't hold as it is, is replaced. */
+/* Names are validated on entry; characters that JSON would have to escape become '_'. */
 static void
 lc_burn__append_name (GString *out, const char *name)
 {
--- a/src/io/lc-burn-recorder.h
+++ b/src/io/lc-burn-recorder.h
@@ -1,22 +1,22 @@
-/* lc-burn-recorder: counts how requests and flows of each service ended in this process.
+/* lc-burn-recorder: records outcomes of requests and flows of each service for SLO burn rates.
  *
  * WHAT IT IS
- *   The I/O side of core/burn: growing counts a service, a ring of samples each, and the JSON that
- *   GET /v1/burn on the admin port answers.
+ *   The I/O side of core/burn: per service cumulative counters and a ring of samples of them, and
+ *   the JSON that GET /v1/burn on the admin port returns.
  *
  * HOW TO USE IT
  *     lc_burn_recorder_init (&burn, loop);
  *     lc_burn_identify (&burn, instance, "lb-atl-1", "hall-atl", 0);
  *     lc_burn_add (&burn, "order-desk", LC_BURN_GOOD, 1);
- *     char *json = lc_burn_json (&burn);   g_free it
- *   LcApp has one and lc-app's programs share it.
+ *     char *json = lc_burn_json (&burn);   free it with g_free
+ *   Each LcApp owns one.
  *
  * THREADS
  *   lc_burn_add may be called from any thread, the rest on the loop's.
  *
  * LIMITS
- *   About 18 KiB a service; services after the first LC_BURN_MAX_SERVICES are counted together as
- *   "(other)", so that memory has a bound.
+ *   About 18 KiB a service; to bound memory, services after the first LC_BURN_MAX_SERVICES share
+ *   one entry, "(other)".
  */
 #ifndef LC_BURN_RECORDER_H
 #define LC_BURN_RECORDER_H
@@ -40,7 +40,7 @@
   LcInstance instance;
   char process[LC_NAME_MAX];
   char data_centre[LC_NAME_MAX];
-  uint32_t weight_percent; /* of an endpoint; 0: not an endpoint */
+  uint32_t weight_percent; /* of an endpoint; 0: not one */
 } LcBurnRecorder;
 
 void lc_burn_recorder_init (LcBurnRecorder *burn, h2o_loop_t *loop);
@@ -52,7 +52,8 @@
                        uint32_t weight_percent);
 void lc_burn_add (LcBurnRecorder *burn, const char *service, LcBurnCounter counter, uint64_t n);
 /* {"instance", "process", "data_centre", "weight_percent", "uptime_us", "counters": [names],
- * "services": [{"name", "samples": [[uptime_us, count, ...], ...]}]}; the last sample is now. */
+ * "services": [{"name", "samples": [[uptime_us, count, ...], ...]}]}; the last sample is taken
+ * by the call. */
 char *lc_burn_json (LcBurnRecorder *burn);
 
 #endif /* LC_BURN_RECORDER_H */
--- a/src/io/lc-clock.h
+++ b/src/io/lc-clock.h
@@ -1,7 +1,7 @@
-/* lc-clock: the only place that reads the clocks.
+/* lc-clock: reads the monotonic and the wall clock; no other module does.
  *
- * WHAT IT IS
- *   Decisions take the present time as an argument; tasks read it here once an event.
+ * HOW TO USE IT
+ *   Event handlers read the time once an event and pass it to decisions as an argument.
  */
 #ifndef LC_CLOCK_H
 #define LC_CLOCK_H
@@ -9,7 +9,7 @@
 #include <stdint.h>
 #include <time.h>
 
-/* Microseconds of the monotonic clock; never goes back. */
+/* Microseconds of the monotonic clock. */
 static inline int64_t
 lc_clock_now_us (void)
 {
@@ -19,7 +19,7 @@
   return (int64_t)t.tv_sec * 1000000 + t.tv_nsec / 1000;
 }
 
-/* Microseconds since 1970, for logs and audit only: it may step. */
+/* Microseconds since 1970, for logs and audit only: the wall clock may step. */
 static inline int64_t
 lc_clock_wall_us (void)
 {
--- a/src/io/lc-datagram.c
+++ b/src/io/lc-datagram.c
@@ -8,7 +8,7 @@
 enum
 {
   LC_DATAGRAM_BUFFER_BYTES = 4 << 20,
-  LC_DATAGRAM_ROUNDS = 4, /* batches read before other events get their turn */
+  LC_DATAGRAM_ROUNDS = 4, /* batches read per event, so that others get their turn */
 };
 
 /* === private: batches ======================================================================= */
@@ -54,11 +54,11 @@
 }
 
 static void
-lc_datagram__on_readable (h2o_socket_t *socket, const char *why)
+lc_datagram__on_readable (h2o_socket_t *socket, const char *err)
 {
   LcDatagram *d = socket->data;
 
-  if (why != NULL)
+  if (err != NULL)
     return;
   for (uint32_t round = 0; round < LC_DATAGRAM_ROUNDS; round++)
     if (lc_datagram__read (d) < LC_DATAGRAM_BATCH)
@@ -177,7 +177,7 @@
 
       if (n <= 0)
         {
-          /* The first of them was refused (no route, no buffer): it is lost, the rest may go. */
+          /* The first one was refused (no route, no buffer): drop it, try the rest. */
           d->unsent_total++;
           done++;
           continue;
--- a/src/io/lc-datagram.h
+++ b/src/io/lc-datagram.h
@@ -1,24 +1,24 @@
-/* lc-datagram: a UDP port on an h2o event loop, read and written in batches.
+/* lc-datagram: a UDP socket on an h2o event loop with batched system calls.
  *
  * WHAT IT IS
- *   When the socket is readable, up to LC_DATAGRAM_BATCH datagrams are read with one system call
- *   and given to `received` one by one; then `batch_end` is called.  Sends are collected and go out
- *   with one system call when the collection is full or lc_datagram_flush is called.
+ *   When the socket is readable, up to LC_DATAGRAM_BATCH datagrams are read by one system call and
+ *   passed to `received` one by one; then `batch_end` is called.  Sends are queued and written by
+ *   one system call when the queue is full, after `batch_end`, or by lc_datagram_flush.
  *
  * HOW TO USE IT
  *     LcDatagramDesc desc = { .loop = loop, .ipv4 = ip, .port = 7100, .user = me,
  *                             .received = on_datagram, .batch_end = on_batch_end };
- *     lc_datagram_init (&port, &desc, &error);
- *     lc_datagram_send (&port, ipv4, udp_port, header, header_len, payload, payload_len);
- *     lc_datagram_flush (&port);
- *     lc_datagram_finish (&port);
+ *     lc_datagram_init (&datagram, &desc, &error);
+ *     lc_datagram_send (&datagram, ipv4, udp_port, header, header_len, payload, payload_len);
+ *     lc_datagram_flush (&datagram);
+ *     lc_datagram_finish (&datagram);
  *
  * THREADS
  *   Everything on the loop's thread.
  *
  * LIMITS
- *   Datagrams over LC_DATAGRAM_BYTES are counted and dropped.  A full socket buffer drops, as UDP
- *   does, and counts.
+ *   Datagrams over LC_DATAGRAM_BYTES are counted and dropped, as are sends that the kernel refuses,
+ *   for example for want of buffer space.
  */
 #ifndef LC_DATAGRAM_H
 #define LC_DATAGRAM_H
@@ -41,10 +41,10 @@
   h2o_loop_t *loop;
   uint32_t ipv4;
   uint16_t port;         /* 0: the kernel picks one, see lc_datagram_port */
-  uint32_t buffer_bytes; /* of the socket, each way; 0: 4 MiB (the system may give less) */
+  uint32_t buffer_bytes; /* SO_RCVBUF and SO_SNDBUF; 0: 4 MiB (the kernel may cap it) */
   void *user;
   void (*received) (void *user, uint8_t *bytes, size_t len, uint32_t ipv4, uint16_t port);
-  void (*batch_end) (void *user); /* may be NULL */
+  void (*batch_end) (void *user); /* after each readable event; may be NULL */
 } LcDatagramDesc;
 
 typedef struct
@@ -72,7 +72,7 @@
 int lc_datagram_init (LcDatagram *datagram, const LcDatagramDesc *desc, LcError *error);
 void lc_datagram_finish (LcDatagram *datagram);
 uint16_t lc_datagram_port (const LcDatagram *datagram);
-/* Takes a copy of both parts; 0, or LC_ERR_FULL when they are too long together. */
+/* Queues a copy of both parts; 0, or LC_ERR_FULL when they are too long together. */
 int lc_datagram_send (LcDatagram *datagram,
                       uint32_t ipv4,
                       uint16_t port,
--- a/src/io/lc-disk-posix.c
+++ b/src/io/lc-disk-posix.c
@@ -42,7 +42,7 @@
   posix->open_name[0] = '\0';
 }
 
-/* The descriptor that wrote is the one that syncs: a sync by another may miss a write error. */
+/* Writes and syncs share one descriptor: a sync on another one may miss a write error. */
 static int
 lc_disk__open_file (LcDiskPosix *posix, const char *name, LcError *error)
 {
@@ -56,7 +56,7 @@
   return 0;
 }
 
-/* === the interface ========================================================================== */
+/* === private: LcDisk ======================================================================== */
 
 static int
 lc_disk__list (void *user, GPtrArray *names, LcError *error)
@@ -138,7 +138,7 @@
   LcDiskPosix *posix = user;
   int r = lc_disk__open_file (posix, name, error);
 
-  /* fdatasync also writes the size, which is all of the metadata that reading needs. */
+  /* fdatasync also flushes the size, the only metadata that reading needs. */
   if (r == 0 && fdatasync (posix->open_fd) < 0)
     r = lc_disk__fail ("fsync", name, error);
   return r;
--- a/src/io/lc-disk-posix.h
+++ b/src/io/lc-disk-posix.h
@@ -1,13 +1,13 @@
-/* lc-disk-posix: the real data folder.
+/* lc-disk-posix: the LcDisk interface on a data folder of the file system.
  *
  * HOW TO USE IT
  *     LcDiskPosix posix;
- *     lc_disk_posix_init (&posix, "/var/lib/lychee", &error);    makes the folder and locks it
+ *     lc_disk_posix_init (&posix, "/var/lib/lychee", &error);   creates the folder and locks it
  *     LcDisk disk = lc_disk_posix_interface (&posix);
  *     lc_disk_posix_finish (&posix);
  *
  * LIMITS
- *   One process a folder: a lock file keeps a second one out.  One thread at a time.
+ *   One process a folder, enforced by a lock file.  One thread at a time.
  */
 #ifndef LC_DISK_POSIX_H
 #define LC_DISK_POSIX_H
@@ -18,8 +18,8 @@
 {
   int folder_fd;
   int lock_fd;
-  char open_name[64]; /* the file that open_fd is */
-  int open_fd;        /* kept from write to write */
+  char open_name[64]; /* of the file behind open_fd */
+  int open_fd;        /* kept open between writes; -1: none */
 } LcDiskPosix;
 
 int lc_disk_posix_init (LcDiskPosix *posix, const char *folder, LcError *error);
--- a/src/io/lc-flow-log.c
+++ b/src/io/lc-flow-log.c
@@ -9,8 +9,8 @@
   uint32_t per_s;
 } LcFlowLogRule;
 
-/* What goes well is told up to about the rate of new flows of one process at the users' sites; the
- * sum of all is LC_FLOW_LOG_PER_S. */
+/* Budgets add up to LC_FLOW_LOG_PER_S.  Those of normal decisions are about the rate of new flows
+ * of one process at the users' sites. */
 static const LcFlowLogRule LC_FLOW_LOG_RULES[LC_N_FLOW_LOG_KINDS] = {
   [LC_FLOW_LOG_STEERED] = { "flow.steered", LC_LOG_INFO, 40 },
   [LC_FLOW_LOG_ASSIGNED] = { "flow.assigned", LC_LOG_INFO, 40 },
@@ -39,7 +39,7 @@
   (void)lc_flow_log__put_address (at, end, key->target_ipv4, key->target_port);
 }
 
-/* Only fields that say something are written: a line stays short, and so does its cost. */
+/* Omits empty fields, which keeps lines short and cheap. */
 void
 lc_flow_log (LcFlowLog *log, const LcFlowLogLine *line, int64_t now_us)
 {
@@ -75,9 +75,9 @@
     fields[n++] = (LcLogField){ "asked", LC_U64 (line->n_asked) };
   if (line->after_us != 0)
     fields[n++] = (LcLogField){ "after_ms", LC_I64 (line->after_us / LC_US_PER_MS) };
-  if (limit->suppressed_total != log->told[line->kind])
+  if (limit->suppressed_total != log->reported[line->kind])
     fields[n++] =
-        (LcLogField){ "left_out", LC_U64 (limit->suppressed_total - log->told[line->kind]) };
-  log->told[line->kind] = limit->suppressed_total;
+        (LcLogField){ "left_out", LC_U64 (limit->suppressed_total - log->reported[line->kind]) };
+  log->reported[line->kind] = limit->suppressed_total;
   lc_log_fields (rule->level, rule->event, fields, n);
 }
--- a/src/io/lc-flow-meter.c
+++ b/src/io/lc-flow-meter.c
@@ -10,9 +10,9 @@
 {
   if (meter->n == LC_FLOW_METER_MAX)
     return;
-  meter->lines[meter->n].metric = lc_metrics_counter (metrics, name, help, labels);
-  meter->lines[meter->n].total = total;
-  meter->lines[meter->n].brought = 0;
+  meter->counters[meter->n].metric = lc_metrics_counter (metrics, name, help, labels);
+  meter->counters[meter->n].total = total;
+  meter->counters[meter->n].published = 0;
   meter->n++;
 }
 
@@ -34,13 +34,13 @@
 {
   for (uint32_t i = 0; i < meter->n; i++)
     {
-      uint64_t total = *meter->lines[i].total;
+      uint64_t total = *meter->counters[i].total;
 
-      /* A plane that begins anew, beside another backend server, counts from 0 again. */
-      if (total < meter->lines[i].brought)
-        meter->lines[i].brought = 0;
-      if (total != meter->lines[i].brought)
-        lc_metric_add (meter->lines[i].metric, total - meter->lines[i].brought);
-      meter->lines[i].brought = total;
+      /* A flow plane restarted for another backend server counts from 0 again. */
+      if (total < meter->counters[i].published)
+        meter->counters[i].published = 0;
+      if (total != meter->counters[i].published)
+        lc_metric_add (meter->counters[i].metric, total - meter->counters[i].published);
+      meter->counters[i].published = total;
     }
 }
--- a/src/io/lc-flow-meter.h
+++ b/src/io/lc-flow-meter.h
@@ -1,16 +1,19 @@
-/* lc-flow-meter: brings plain totals of the flow plane to the metrics.
+/* lc-flow-meter: exports the flow plane's plain counters to the metrics registry.
  *
  * WHAT IT IS
- *   Decisions and ports count in plain integers.  A meter remembers what of each it has brought to
- *   the registry and adds the difference.
+ *   Decisions and sockets count in plain integers.  A meter remembers what it has published of each
+ *   and adds the increase to its metric.
  *
  * HOW TO USE IT
  *     lc_flow_meter_add (&meter, &app->metrics, "lychee_flow_taken_total", "Flows taken", NULL,
  *                        &agent.counts.accepted_total);
- *     lc_flow_meter_bring (&meter);                       every so often
+ *     lc_flow_meter_bring (&meter);                       periodically
  *
  * LIFETIME
- *   The totals must outlive the meter.
+ *   The counters must outlive the meter.
+ *
+ * LIMITS
+ *   Counters beyond LC_FLOW_METER_MAX are ignored.
  */
 #ifndef LC_FLOW_METER_H
 #define LC_FLOW_METER_H
@@ -29,8 +32,8 @@
   {
     LcMetric *metric;
     const uint64_t *total;
-    uint64_t brought;
-  } lines[LC_FLOW_METER_MAX];
+    uint64_t published; /* of *total */
+  } counters[LC_FLOW_METER_MAX];
   uint32_t n;
 } LcFlowMeter;
 
@@ -40,7 +43,7 @@
                         const char *help,
                         const char *labels,
                         const uint64_t *total);
-/* lychee_flow_dropped_total, one line a reason. */
+/* Adds lychee_flow_dropped_total for each LcDropReason, the index into `totals`. */
 void lc_flow_meter_add_drops (LcFlowMeter *meter, LcMetrics *metrics, const uint64_t *totals);
 void lc_flow_meter_bring (LcFlowMeter *meter);
 
--- a/src/io/lc-flow-wire.h
+++ b/src/io/lc-flow-wire.h
@@ -1,4 +1,4 @@
-/* lc-flow-wire: messages between agents, to and from datagrams.
+/* lc-flow-wire: encodes and decodes flow messages between agents as datagrams.
  *
  * HOW TO USE IT
  *     uint8_t bytes[LC_FLOW_WIRE_MAX];
@@ -6,7 +6,8 @@
  *     int r = lc_flow_wire_read (&message, bytes, n);
  *
  * LIMITS
- *   More than LC_FLOW_BATCH_MAX entries are refused with LC_ERR_FULL.
+ *   Malformed bytes are refused with LC_ERR_CORRUPT, more than LC_FLOW_BATCH_MAX entries with
+ *   LC_ERR_FULL.
  */
 #ifndef LC_FLOW_WIRE_H
 #define LC_FLOW_WIRE_H
--- a/src/io/lc-frame.h
+++ b/src/io/lc-frame.h
@@ -1,7 +1,7 @@
-/* lc-frame: the frame that carries every message between our processes over TCP.
+/* lc-frame: the framing of messages between processes over TCP.
  *
  * WHAT IT IS
- *   12 bytes of header, big-endian, then a protobuf-c message:
+ *   A header of 12 bytes, big-endian, then a protobuf message:
  *     0  u16 magic 0x4c43 ("LC")
  *     2  u8  version (1)
  *     3  u8  flags (0)
@@ -36,14 +36,14 @@
     LC_FRAME_PAYLOAD_MAX = 1 << 20,
   };
 
-  /* Types are grouped by plane, a hundred each; each plane's header names its own. */
+  /* Types are grouped by subsystem, a hundred each, and defined in its header. */
   typedef enum
   {
-    LC_FRAME_LINK_PING = 10, /* of the link itself (lc-link.h), without payload: asks for a pong */
-    LC_FRAME_LINK_PONG = 11,
+    LC_FRAME_LINK_PING = 10,      /* keep-alive of lc-link, without payload */
+    LC_FRAME_LINK_PONG = 11,      /* the answer to a ping, without payload */
     LC_FRAME_MEMBER_FIRST = 100,  /* membership and distribution: lc-member-frames.h */
     LC_FRAME_CONTROL_FIRST = 200, /* replicated log: lc-control-frames.h */
-    LC_FRAME_FLOW_FIRST = 300,    /* pointers and loads: lc-flow-frames.h */
+    LC_FRAME_FLOW_FIRST = 300,    /* flow pointers and loads: lc-flow-frames.h */
     LC_FRAME_REQUEST_FIRST = 400, /* attempts and claims: lc-request-frames.h */
     LC_FRAME_TYPE_END = 500,
   } LcFrameType;
@@ -56,10 +56,10 @@
   } LcFrame;
 
   /* Returns the frame's size, 0 when more bytes are needed, LC_ERR_CORRUPT for a wrong magic,
-   * reserved field or type, LC_ERR_VERSION, or LC_ERR_FULL for an oversized payload. */
+   * flag, reserved field or type, LC_ERR_VERSION, or LC_ERR_FULL for an oversized payload. */
   int lc_frame_decode (LcFrame *frame, const uint8_t *bytes, size_t len, LcError *error);
 
-  /* Writes the header of a frame; `out` has LC_FRAME_HEADER_BYTES bytes. */
+  /* `out` has LC_FRAME_HEADER_BYTES bytes. */
   void lc_frame_encode_header (uint8_t *out, uint16_t type, uint32_t payload_len);
 
 #ifdef __cplusplus
--- a/src/io/lc-http.c
+++ b/src/io/lc-http.c
@@ -14,7 +14,7 @@
   LcHttp *http;
 } LcHttpHandler;
 
-/* === private: answering ===================================================================== */
+/* === private: answers ======================================================================= */
 
 static const char *
 lc_http__reason (int status)
@@ -117,7 +117,7 @@
   g_string_free (body, TRUE);
 }
 
-/* === private: the handler =================================================================== */
+/* === private: requests ====================================================================== */
 
 static bool
 lc_http__path_is (const h2o_req_t *req, const char *path)
@@ -253,8 +253,8 @@
   return n;
 }
 
-/* h2o 2.2 can't close connections that are still in flight by itself; the process ends right after
- * this call, so the context is disposed only when nothing uses it. */
+/* h2o 2.2 can't close open connections by itself; the context is then not disposed, since the
+ * process ends right after this call. */
 void
 lc_http_finish (LcHttp *http)
 {
@@ -263,7 +263,8 @@
   http->listener = NULL;
   if (lc_http_n_connections (http) > 0)
     return;
-  /* The shutdown of HTTP/2 leaves its second GOAWAY armed, which the context refuses to dispose. */
+  /* HTTP/2 shutdown leaves its timer for the second GOAWAY armed, and h2o_context_dispose refuses
+   * a context with armed timers. */
   if (h2o_timeout_is_linked (&http->context.http2._graceful_shutdown_timeout))
     h2o_timeout_unlink (&http->context.http2._graceful_shutdown_timeout);
   h2o_context_dispose (&http->context);
--- a/src/io/lc-link-client.c
+++ b/src/io/lc-link-client.c
@@ -20,8 +20,8 @@
   return value != 0 ? value : fallback;
 }
 
-/* Half of the back-off is fixed and half random, so that many clients that lost one server at the
- * same moment don't come back at the same moment. */
+/* Half of the back-off is random, so that the many clients of a lost server don't reconnect at the
+ * same moment. */
 void
 lc_link_client__schedule (LcLinkClient *client)
 {
@@ -58,8 +58,8 @@
   lc_link__start (link);
 }
 
-/* h2o_socket_connect can't bind a source address, so a client that must come from its own VM's
- * address makes the socket itself and waits for it to become writable. */
+/* h2o_socket_connect can't bind a source address, so a client that must use its own VM's address
+ * creates the socket itself and waits until it is writable. */
 static h2o_socket_t *
 lc_link_client__connect_from (LcLinkClient *client, const struct sockaddr_in *address)
 {
@@ -101,7 +101,7 @@
                   lc_link_client__or (client->desc.connect_timeout_ms, LC_LINK_CONNECT_TIMEOUT_MS));
 }
 
-/* The one timer bounds a connect that is under way, else it says when to try again. */
+/* The timer is the connection timeout while connecting, else the back-off. */
 static void
 lc_link_client__on_timer (void *user)
 {
@@ -140,7 +140,7 @@
     lc_link_close (client->link, why);
 }
 
-/* Finished in its own link's callback: the link ends after it and must not look back. */
+/* When finished in a callback of its own link, the link outlives the client: unlink them. */
 static void
 lc_link_client__detach (LcLinkClient *client)
 {
--- a/src/io/lc-link-private.h
+++ b/src/io/lc-link-private.h
@@ -1,7 +1,7 @@
-/* lc-link-private: what the parts of lc-link share.
+/* lc-link-private: the link itself, shared by the sources of lc-link.
  *
- *   lc-link.c         a link: frames out and in, keep-alive, its end; and the server's side
- *   lc-link-client.c  the client's side: connecting, and again
+ *   lc-link.c         framing, keep-alive and teardown of a link; the server
+ *   lc-link-client.c  the client: connecting and reconnecting
  */
 #ifndef LC_LINK_PRIVATE_H
 #define LC_LINK_PRIVATE_H
@@ -16,20 +16,20 @@
   LcLinkHandler handler;
   LcLinkServer *server; /* NULL for a client's link */
   LcLinkClient *client; /* NULL for a server's link */
-  LcLink *next;         /* server's list */
+  LcLink *next;         /* in the server's list */
   LcLink **previous;
-  GByteArray *unsent;  /* filled while `writing` is under way */
+  GByteArray *unsent;  /* collects frames while `writing` is being written */
   GByteArray *writing; /* owned by h2o until the write completes */
   uint64_t *malformed_total;
   uint64_t id;
   uint64_t bytes_total;
   uint32_t max_backlog_bytes;
-  LcTimer keep_alive;
-  LcLinkKeepAlive pace;
-  int64_t looked_us; /* when keep_alive fired last */
-  int64_t heard_us;  /* when bytes came last */
-  int64_t spoke_us;  /* when bytes went last */
-  bool is_busy;      /* a callback of this link is running: closing waits for its end */
+  LcTimer keep_alive_timer;
+  LcLinkKeepAlive keep_alive;
+  int64_t last_check_us;    /* keep_alive_timer fired */
+  int64_t last_received_us; /* bytes */
+  int64_t last_sent_us;     /* bytes */
+  bool is_busy;             /* a callback of this link is running: closing waits for it */
   bool is_writing;
   bool is_closing;
   char why[96];
@@ -40,9 +40,9 @@
                       h2o_loop_t *loop,
                       const LcLinkHandler *handler,
                       uint32_t max_backlog_bytes,
-                      const LcLinkKeepAlive *pace);
+                      const LcLinkKeepAlive *keep_alive);
 void lc_link__start (LcLink *link);
-/* A client's link is down: it connects again after its back-off. */
+/* Schedules the next connection attempt after the back-off. */
 void lc_link_client__schedule (LcLinkClient *client);
 
 #endif /* LC_LINK_PRIVATE_H */
--- a/src/io/lc-link.c
+++ b/src/io/lc-link.c
@@ -16,10 +16,10 @@
   LC_LINK_USER_TIMEOUT_MS = 10000,
   LC_LINK_MALFORMED_LOGS_PER_S = 2,
 
-  /* A link that fell silent must be replaced before the leases that are renewed over it end (3 s)
-   * and before a cluster has missed a member for long (4 s is what platforms allow). */
+  /* A silent link must be replaced before the leases renewed over it expire (3 s), and before a
+   * cluster has missed a member for the 4 s that platforms allow. */
   LC_LINK_KEEP_ALIVE_MS = 1000,
-  LC_LINK_SILENT_MS = 2500, /* two pings and half a period */
+  LC_LINK_SILENT_MS = 2500, /* two and a half ping periods */
 };
 
 /* === private: teardown ====================================================================== */
@@ -43,13 +43,13 @@
   g_free (link);
 }
 
-/* Closes and frees a link; must run outside its callbacks (not busy). */
+/* Closes and frees a link; never while it is busy. */
 static void
 lc_link__destroy (LcLink *link)
 {
   LcLinkClient *client = link->client;
 
-  lc_timer_finish (&link->keep_alive);
+  lc_timer_finish (&link->keep_alive_timer);
   h2o_socket_close (link->socket);
   link->socket = NULL;
   lc_link__unlist (link);
@@ -63,7 +63,7 @@
     lc_link_client__schedule (client);
 }
 
-/* Callbacks may nest: only the outermost one destroys the link. */
+/* Brackets each callback.  Callbacks may nest: only the outermost one destroys the link. */
 static bool
 lc_link__enter (LcLink *link)
 {
@@ -112,7 +112,7 @@
   link->unsent = link->writing;
   link->writing = full;
   link->is_writing = true;
-  link->spoke_us = lc_clock_now_us ();
+  link->last_sent_us = lc_clock_now_us ();
   link->bytes_total += full->len;
   buffer = h2o_iovec_init (full->data, full->len);
   h2o_socket_write (link->socket, &buffer, 1, lc_link__on_written);
@@ -123,7 +123,7 @@
 static void
 lc_link__report_malformed (LcLink *link, const LcError *error)
 {
-  static LcLogLimit limit; /* one for the process: bad peers must not flood the log */
+  static LcLogLimit limit; /* of the process: bad peers must not flood the log */
 
   if (link->malformed_total != NULL)
     (*link->malformed_total)++;
@@ -132,7 +132,7 @@
              LC_STR (error->remedy));
 }
 
-/* Frames of the link itself; false: the frame is for its owner. */
+/* Handles frames of the keep-alive; false: the frame is for the link's handler. */
 static bool
 lc_link__take_own (LcLink *link, const LcFrame *frame)
 {
@@ -148,7 +148,7 @@
   LcError error = { 0 };
   bool was_busy = lc_link__enter (link);
 
-  link->heard_us = lc_clock_now_us ();
+  link->last_received_us = lc_clock_now_us ();
   if (err != NULL)
     lc_link_close (link, err);
   /* Only a link that is not busy is freed.  NOLINTNEXTLINE(clang-analyzer-unix.Malloc) */
@@ -191,20 +191,22 @@
 static int64_t
 lc_link__silent_us (const LcLink *link)
 {
-  /* A client pings when it has not spoken for a period; a server waits for that one period longer.
-   */
-  int64_t patience_ms = link->pace.silent_ms + (link->server != NULL ? link->pace.period_ms : 0);
+  /* A server waits one period longer: its client pings only after a period of silence. */
+  int64_t limit_ms =
+      link->keep_alive.silent_ms + (link->server != NULL ? link->keep_alive.period_ms : 0);
 
-  return patience_ms * LC_US_PER_MS;
+  return limit_ms * LC_US_PER_MS;
 }
 
-/* This process may have stood still itself: what its peer sent meanwhile is not read yet. */
+/* After a stall of this process, what the peer sent meanwhile is not read yet, so the stall is not
+ * counted as silence of the peer. */
 static void
 lc_link__excuse_pause (LcLink *link, int64_t now_us)
 {
-  if (now_us - link->looked_us >= 2 * (int64_t)link->pace.period_ms * LC_US_PER_MS)
-    link->heard_us = MAX (link->heard_us, now_us - link->pace.period_ms * LC_US_PER_MS);
-  link->looked_us = now_us;
+  if (now_us - link->last_check_us >= 2 * (int64_t)link->keep_alive.period_ms * LC_US_PER_MS)
+    link->last_received_us =
+        MAX (link->last_received_us, now_us - link->keep_alive.period_ms * LC_US_PER_MS);
+  link->last_check_us = now_us;
 }
 
 static void
@@ -212,30 +214,31 @@
 {
   LcLink *link = user;
   int64_t now_us = lc_clock_now_us ();
-  int64_t period_us = (int64_t)link->pace.period_ms * LC_US_PER_MS;
+  int64_t period_us = (int64_t)link->keep_alive.period_ms * LC_US_PER_MS;
 
   lc_link__excuse_pause (link, now_us);
-  if (now_us - link->heard_us >= lc_link__silent_us (link))
+  if (now_us - link->last_received_us >= lc_link__silent_us (link))
     {
-      LC_WARN ("link.silent", "silent_ms", LC_I64 ((now_us - link->heard_us) / LC_US_PER_MS),
-               "remedy", LC_STR ("none is needed: the connection is made anew"));
+      LC_WARN ("link.silent", "silent_ms",
+               LC_I64 ((now_us - link->last_received_us) / LC_US_PER_MS), "remedy",
+               LC_STR ("none needed: the client connects again"));
       lc_link_close (link, "silent");
       return;
     }
-  lc_timer_start (&link->keep_alive, link->pace.period_ms);
+  lc_timer_start (&link->keep_alive_timer, link->keep_alive.period_ms);
   if (link->client != NULL &&
-      (now_us - link->heard_us >= period_us || now_us - link->spoke_us >= period_us))
+      (now_us - link->last_received_us >= period_us || now_us - link->last_sent_us >= period_us))
     (void)lc_link_send_bytes (link, LC_FRAME_LINK_PING, NULL, 0);
 }
 
-/* === private: beginning ===================================================================== */
+/* === private: setup ========================================================================= */
 
 LcLink *
 lc_link__new (h2o_socket_t *socket,
               h2o_loop_t *loop,
               const LcLinkHandler *handler,
               uint32_t max_backlog_bytes,
-              const LcLinkKeepAlive *pace)
+              const LcLinkKeepAlive *keep_alive)
 {
   LcLink *link = g_new0 (LcLink, 1);
 
@@ -244,9 +247,11 @@
   link->max_backlog_bytes = max_backlog_bytes != 0 ? max_backlog_bytes : LC_LINK_BACKLOG_BYTES;
   link->unsent = g_byte_array_new ();
   link->writing = g_byte_array_new ();
-  link->pace.period_ms = pace->period_ms != 0 ? pace->period_ms : LC_LINK_KEEP_ALIVE_MS;
-  link->pace.silent_ms = pace->silent_ms != 0 ? pace->silent_ms : LC_LINK_SILENT_MS;
-  lc_timer_init (&link->keep_alive, loop, lc_link__on_keep_alive, link);
+  link->keep_alive.period_ms =
+      keep_alive->period_ms != 0 ? keep_alive->period_ms : LC_LINK_KEEP_ALIVE_MS;
+  link->keep_alive.silent_ms =
+      keep_alive->silent_ms != 0 ? keep_alive->silent_ms : LC_LINK_SILENT_MS;
+  lc_timer_init (&link->keep_alive_timer, loop, lc_link__on_keep_alive, link);
   socket->data = link;
   lc_link__set_options (h2o_socket_get_fd (socket));
   return link;
@@ -257,10 +262,10 @@
 {
   bool was_busy = lc_link__enter (link);
 
-  link->heard_us = lc_clock_now_us ();
-  link->spoke_us = link->heard_us;
-  link->looked_us = link->heard_us;
-  lc_timer_start (&link->keep_alive, link->pace.period_ms);
+  link->last_received_us = lc_clock_now_us ();
+  link->last_sent_us = link->last_received_us;
+  link->last_check_us = link->last_received_us;
+  lc_timer_start (&link->keep_alive_timer, link->keep_alive.period_ms);
   if (link->handler.up != NULL)
     link->handler.up (link->handler.user, link);
   if (!link->is_closing)
--- a/src/io/lc-listen.h
+++ b/src/io/lc-listen.h
@@ -1,4 +1,4 @@
-/* lc-listen: a listening TCP socket, as the peer server and the HTTP listener open it.
+/* lc-listen: opens listening TCP sockets for lc-link and lc-http.
  *
  * HOW TO USE IT
  *     int fd = lc_listen_tcp (ipv4, port, "free the port", &error);
@@ -15,7 +15,7 @@
 
 #include <stdint.h>
 
-/* The descriptor, or LC_ERR_IO with `remedy` when the address can't be taken.  `ipv4` and `port`
+/* The descriptor, or LC_ERR_IO with `remedy` when the address can't be bound.  `ipv4` and `port`
  * are in host byte order; port 0 lets the kernel pick one. */
 int lc_listen_tcp (uint32_t ipv4, uint16_t port, const char *remedy, LcError *error);
 
--- a/src/io/lc-log.c
+++ b/src/io/lc-log.c
@@ -14,7 +14,7 @@
   LC_LOG_NAME_BYTES = 64,
 };
 
-/* The one process-wide state: GLib's log writer is process-wide too. */
+/* Process-wide, as GLib's log writer is. */
 static struct
 {
   LcLogLevel level;
@@ -22,7 +22,7 @@
   char name[LC_LOG_NAME_BYTES];
   GMutex lock;
   uint64_t dropped_total;
-  uint64_t dropped_told; /* of these, told in a line */
+  uint64_t dropped_reported; /* of these, in "log.dropped" lines */
 } lc_log__state = { .level = LC_LOG_INFO };
 
 static const char *const LC_LOG_LEVEL_NAMES[] = { "debug", "info", "warn", "error" };
@@ -113,20 +113,20 @@
   return poll (&out, 1, 0) == 1 && (out.revents & POLLOUT) != 0;
 }
 
-/* Where a line finds room, so do a few hundred bytes more before it. */
+/* A pipe that polls writable has room for these few hundred bytes and the line after them. */
 static void
 lc_log__tell_dropped (void)
 {
   GString *line;
 
-  if (lc_log__state.dropped_total == lc_log__state.dropped_told)
+  if (lc_log__state.dropped_total == lc_log__state.dropped_reported)
     return;
   line = lc_log__begin (LC_LOG_WARN, "log.dropped");
   lc_log__append_field (line, "lines",
-                        &LC_U64 (lc_log__state.dropped_total - lc_log__state.dropped_told));
+                        &LC_U64 (lc_log__state.dropped_total - lc_log__state.dropped_reported));
   g_string_append (line, "}\n");
   if (write (STDOUT_FILENO, line->str, line->len) == (gssize)line->len)
-    lc_log__state.dropped_told = lc_log__state.dropped_total;
+    lc_log__state.dropped_reported = lc_log__state.dropped_total;
   g_string_free (line, TRUE);
 }
 
@@ -147,7 +147,7 @@
   g_mutex_unlock (&lc_log__state.lock);
 }
 
-/* Our own lines arrive finished in LC_LINE; a library's message is wrapped as an event. */
+/* Lines of this module come complete in LC_LINE; a library's message is wrapped in an event. */
 static GLogWriterOutput
 lc_log__write (GLogLevelFlags flags, const GLogField *fields, gsize n_fields, gpointer user)
 {
--- a/src/io/lc-log.h
+++ b/src/io/lc-log.h
@@ -1,23 +1,24 @@
-/* lc-log: JSON lines on standard output, through GLib's structured logging.
+/* lc-log: structured logging: JSON lines on standard output, through GLib's log writer.
  *
  * HOW TO USE IT
  *     lc_log_init (LC_LOG_INFO, "balancer", "lb-atl-1");
  *     LC_INFO ("view.applied", "revision", LC_U64 (7), "services", LC_U64 (2));
  *     LC_WARN ("link.malformed", "peer", LC_STR (text));
- *   prints {"time":"2026-...Z","level":"info","program":"balancer","name":"lb-atl-1",
- *           "event":"view.applied","revision":7,"services":2}
- *   An event is a fixed dotted name; everything that varies is a field.
+ *   The second call prints, as one line
+ *     {"time":"2026-...Z","level":"info","program":"balancer","name":"lb-atl-1",
+ *      "event":"view.applied","revision":7,"services":2}
+ *   An event is a constant dotted name; everything variable is a field.
  *
  * RATE
- *   lc_log_allow (&limit, now_us, per_s) lets at most `per_s` lines a second through, for events
- *   that bad input can cause.
+ *   lc_log_allow (&limit, now_us, per_s) allows at most `per_s` lines a second, for events that bad
+ *   input can cause.
  *
  * NEVER BLOCKS
- *   A line that the reader of standard output has no room for is left out and counted; the next one
- *   that finds room is preceded by "log.dropped" with the count.
+ *   A line for which standard output has no room is dropped and counted; the next line that fits is
+ *   preceded by "log.dropped" with the count.
  *
  * LIMITS
- *   At most 12 fields.  Safe from several threads.
+ *   At most 12 fields a line.  Thread-safe.
  */
 #ifndef LC_LOG_H
 #define LC_LOG_H
@@ -65,10 +66,10 @@
 } LcLogLimit;
 
 void lc_log_init (LcLogLevel level, const char *program, const char *name);
-/* "debug", "info", "warn", "error"; returns -1 for another word. */
+/* "debug", "info", "warn" or "error"; -1 for anything else. */
 int lc_log_level_parse (const char *word);
 bool lc_log_enabled (LcLogLevel level);
-/* Lines that found no room, since the start. */
+/* Lines dropped for want of room since the start. */
 uint64_t lc_log_dropped_total (void);
 bool lc_log_allow (LcLogLimit *limit, int64_t now_us, uint32_t per_s);
 typedef struct
@@ -77,9 +78,9 @@
   LcLogValue value;
 } LcLogField;
 
-/* The same line from an array, for fields that depend on the case. */
+/* Logs fields from an array, for lines whose fields vary. */
 void lc_log_fields (LcLogLevel level, const char *event, const LcLogField *fields, uint32_t n);
-/* Pairs of (const char *key, LcLogValue value), ended by a NULL key. */
+/* Takes pairs of (const char *key, LcLogValue value), ended by a NULL key. */
 void lc_log_event (LcLogLevel level, const char *event, ...);
 
 #define LC_LOG_AT(level, event, ...)                                                               \
--- a/src/io/lc-member-frames.h
+++ b/src/io/lc-member-frames.h
@@ -1,4 +1,6 @@
-/* lc-member-frames: frame types of membership and distribution (100..199). */
+/* lc-member-frames: frame types of membership and view distribution (100 to 199).
+ *
+ * "up" is from a member towards control, "down" the other way. */
 #ifndef LC_MEMBER_FRAMES_H
 #define LC_MEMBER_FRAMES_H
 
--- a/src/io/lc-metrics.c
+++ b/src/io/lc-metrics.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Upper bounds of the histogram's buckets; one more holds the rest. */
+/* Upper bounds of the histogram's buckets; one more bucket has none. */
 static const int64_t LC_METRICS_BOUNDS_US[] = { 100,      200,     500,     1000,    2000,
                                                 5000,     10000,   20000,   50000,   100000,
                                                 200000,   500000,  1000000, 2000000, 5000000,
@@ -194,7 +194,7 @@
   return true;
 }
 
-/* All metrics of one name stand together, as the format asks. */
+/* The format requires all metrics of one name together. */
 static void
 lc_metrics__append_name (GString *text, const LcMetrics *m, guint first)
 {
--- a/src/io/lc-peer-pool.c
+++ b/src/io/lc-peer-pool.c
@@ -10,7 +10,7 @@
 typedef struct
 {
   LcLinkClient client;
-  int64_t asked_us;
+  int64_t last_used_us;
 } LcPeerPoolEntry;
 
 static void
@@ -58,13 +58,13 @@
 LcLink *
 lc_peer_pool_get (LcPeerPool *pool, uint32_t ipv4, uint16_t port, int64_t now_us)
 {
-  /* g_int64_hash takes only the low 32 bits: the address, which differs most, goes there. */
+  /* g_int64_hash uses only the low 32 bits, so the address, which differs most, is there. */
   uint64_t key = ((uint64_t)port << 32) | ipv4;
   LcPeerPoolEntry *entry = g_hash_table_lookup (pool->peers, &key);
 
   if (entry == NULL)
     entry = lc_peer_pool__add (pool, key, ipv4, port);
-  entry->asked_us = now_us;
+  entry->last_used_us = now_us;
   return lc_link_client_link (&entry->client);
 }
 
@@ -78,7 +78,7 @@
 
   g_hash_table_iter_init (&iter, pool->peers);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    if (((LcPeerPoolEntry *)value)->asked_us < oldest_us)
+    if (((LcPeerPoolEntry *)value)->last_used_us < oldest_us)
       g_hash_table_iter_remove (&iter);
 }
 
--- a/src/io/lc-peer-pool.h
+++ b/src/io/lc-peer-pool.h
@@ -1,8 +1,8 @@
-/* lc-peer-pool: links to many peers, made on demand and closed when idle.
+/* lc-peer-pool: a connection pool: links to many peers, opened on demand and closed when idle.
  *
  * WHAT IT IS
- *   A table of LcLinkClient keyed by (ipv4, port).  Asking for a peer starts its connection; the
- *   link is NULL until it is up.
+ *   A table of LcLinkClient keyed by (ipv4, port).  The first lc_peer_pool_get of a peer starts to
+ *   connect; the link is NULL until it is up.
  *
  * HOW TO USE IT
  *     LcPeerPoolDesc desc = { .loop = loop, .handler = { .user = me, .frame = on_frame } };
@@ -25,7 +25,7 @@
 {
   h2o_loop_t *loop;
   uint32_t source_ipv4;
-  uint32_t idle_ms; /* 0: 60 000; a peer not asked for this long is closed */
+  uint32_t idle_ms; /* 0: 60 000; a peer not used for so long is closed */
   LcLinkHandler handler;
 } LcPeerPoolDesc;
 
@@ -41,7 +41,7 @@
 LcLink *lc_peer_pool_get (LcPeerPool *pool, uint32_t ipv4, uint16_t port, int64_t now_us);
 void lc_peer_pool_expire (LcPeerPool *pool, int64_t now_us);
 uint32_t lc_peer_pool_size (const LcPeerPool *pool);
-/* Bytes sent and received on the pool's present links. */
+/* Bytes sent and received on the current links. */
 uint64_t lc_peer_pool_bytes_total (const LcPeerPool *pool);
 
 #endif /* LC_PEER_POOL_H */
--- a/src/io/lc-request-log.c
+++ b/src/io/lc-request-log.c
@@ -9,7 +9,7 @@
   uint32_t per_s;
 } LcRequestLogRule;
 
-/* A balancer writes the first five kinds, an agent the others; the sum of each is
+/* A balancer writes the first five kinds, an agent the others; each set's budgets add up to
  * LC_REQUEST_LOG_PER_S. */
 static const LcRequestLogRule LC_REQUEST_LOG_RULES[LC_N_REQUEST_LOG_KINDS] = {
   [LC_REQUEST_LOG_SENT] = { "request.sent", LC_LOG_INFO, 20 },
@@ -28,7 +28,7 @@
 
 enum
 {
-  LC_REQUEST_LOG_FIELDS_MAX = 12, /* of lc-log */
+  LC_REQUEST_LOG_FIELDS_MAX = 12, /* lc-log's limit */
 };
 
 typedef struct
@@ -58,7 +58,7 @@
     lc_request_log__add (fields, name, LC_STR (text));
 }
 
-/* Only fields that say something are written: a line stays short, and so does its cost. */
+/* Omits empty fields, which keeps lines short and cheap. */
 void
 lc_request_log (LcRequestLog *log, const LcRequestLogLine *line, int64_t now_us)
 {
@@ -103,9 +103,9 @@
   lc_request_log__add_ms (&fields, "left_ms", line->left_us);
   lc_request_log__add_ms (&fields, "took_ms", line->took_us);
   lc_request_log__add_ms (&fields, "retry_after_ms", line->retry_after_us);
-  if (limit->suppressed_total != log->told[line->kind])
+  if (limit->suppressed_total != log->reported[line->kind])
     lc_request_log__add (&fields, "left_out",
-                         LC_U64 (limit->suppressed_total - log->told[line->kind]));
-  log->told[line->kind] = limit->suppressed_total;
+                         LC_U64 (limit->suppressed_total - log->reported[line->kind]));
+  log->reported[line->kind] = limit->suppressed_total;
   lc_log_fields (rule->level, rule->event, fields.fields, fields.n);
 }
--- a/src/io/lc-settings-common.h
+++ b/src/io/lc-settings-common.h
@@ -1,11 +1,11 @@
-/* lc-settings-common: rows that the tables of several programs share.
+/* lc-settings-common: settings that several programs share, as rows for their tables.
  *
  * HOW TO USE IT
  *     static const LcSettingsField FIELDS[] = {
  *       LC_SETTING_ROW_NAME (LcAgentSettings, "unique name of this endpoint"),
  *       ...
  *     };
- *   Each row names the member of the program's struct that it fills; the struct must have it.
+ *   Each row fills a fixed member of the program's struct, which the struct must have.
  */
 #ifndef LC_SETTINGS_COMMON_H
 #define LC_SETTINGS_COMMON_H
--- a/src/io/lc-settings.c
+++ b/src/io/lc-settings.c
@@ -14,7 +14,7 @@
   LcError *error;
 } LcSettingsLoad;
 
-/* === private: messages ====================================================================== */
+/* === private: errors ======================================================================== */
 
 static int
 lc_settings__wrong_type (const LcSettingsLoad *load, const char *path, const char *expected)
@@ -106,7 +106,7 @@
   return 0;
 }
 
-/* The port of an address: the platform that writes the file may know no other form of it. */
+/* Takes the port of an address, since some platforms can only write addresses into the file. */
 static int
 lc_settings__put_port (const LcSettingsLoad *load, const LcSettingsField *f, const char *text)
 {
@@ -265,7 +265,7 @@
   return 0;
 }
 
-/* === private: the tree ====================================================================== */
+/* === private: the document ================================================================== */
 
 static const json_t *
 lc_settings__find (const json_t *root, const char *path)
--- a/src/io/lc-settings.h
+++ b/src/io/lc-settings.h
@@ -1,10 +1,10 @@
-/* lc-settings: checked JSON settings, driven by a table of fields.
+/* lc-settings: loads and validates JSON settings by a schema.
  *
  * WHAT IT IS
  *   A program describes its settings by a table: path, type, range, unit, default, help, and where
- *   the value goes in its own struct.  Loading checks everything at the edge: an unknown field, a
- *   wrong type, a duplicate name, or a number out of range gives an LcError with file, JSON path,
- *   what is wrong and the remedy.  Nothing is half-applied.
+ *   the value goes in its own struct.  An unknown field, a wrong type, a duplicate name or a number
+ *   out of range gives an LcError with file, JSON path, what is wrong and the remedy; the struct is
+ *   then unchanged.
  *
  * HOW TO USE IT
  *     typedef struct { char name[LC_NAME_MAX]; uint16_t port; } Mine;
@@ -17,7 +17,7 @@
  *     LcSettingsSchema schema = { .program = "lychee-agent", .fields = FIELDS,
  *                                 .n_fields = G_N_ELEMENTS (FIELDS), .size = sizeof (Mine) };
  *     int r = lc_settings_load (&schema, &mine, "agent.json", &error);
- *   A dotted path ("control.heartbeat_ms") goes into nested objects.  LC_SETTING_ADDRESS_LIST takes
+ *   A dotted path ("control.heartbeat_ms") addresses nested objects.  LC_SETTING_ADDRESS_LIST reads
  *   an array of "a.b.c.d:port" strings into an LcSocketAddress array of `size` bytes whose count
  *   (uint32_t) is at count_offset.
  *
@@ -41,13 +41,13 @@
   LC_SETTING_STRING,       /* char[size] */
   LC_SETTING_BOOL,         /* bool */
   LC_SETTING_U16,          /* uint16_t */
-  LC_SETTING_PORT,         /* uint16_t, from a number or from the end of "a.b.c.d:port" */
+  LC_SETTING_PORT,         /* uint16_t, a number or the port of "a.b.c.d:port" */
   LC_SETTING_U32,          /* uint32_t */
   LC_SETTING_U64,          /* uint64_t */
   LC_SETTING_IPV4,         /* uint32_t from "a.b.c.d" */
   LC_SETTING_ADDRESS,      /* LcSocketAddress from "a.b.c.d:port" */
   LC_SETTING_ADDRESS_LIST, /* LcSocketAddress[] */
-  LC_SETTING_PERMILLE,     /* uint32_t, thousandths of a number such as 1.5 */
+  LC_SETTING_PERMILLE,     /* uint32_t, a number such as 1.5 in thousandths */
   LC_SETTING_CHOICE,       /* uint32_t index into `choices` */
 } LcSettingKind;
 
@@ -59,7 +59,7 @@
   size_t size;         /* bytes of a string or of an address array */
   size_t count_offset; /* address lists only */
   uint64_t min;
-  uint64_t max; /* 0: the type's own limit */
+  uint64_t max; /* 0: the type's limit */
   uint64_t default_u64;
   const char *default_str;
   const char *const *choices; /* NULL-terminated */
@@ -76,20 +76,20 @@
   size_t size; /* of the caller's struct */
 } LcSettingsSchema;
 
-/* Reads and checks a file; `out` is written only on success. */
+/* Loads a file; `out` is written only on success. */
 int lc_settings_load (const LcSettingsSchema *schema, void *out, const char *path, LcError *error);
-/* The same from memory; `origin` stands for the file's name in messages. */
+/* The same from memory; `origin` replaces the file's name in messages. */
 int lc_settings_parse (const LcSettingsSchema *schema,
                        void *out,
                        const char *json,
                        size_t len,
                        const char *origin,
                        LcError *error);
-/* Gives every address of a list the same port; 0 leaves them as they are. */
+/* Sets the port of every address of a list, unless `port` is 0. */
 void lc_settings_set_ports (LcSocketAddress *list, uint32_t n, uint16_t port);
-/* Prints the table (path, type, range, unit, default, help), as Markdown. */
+/* Prints the schema as a Markdown table. */
 void lc_settings_print (const LcSettingsSchema *schema, FILE *out);
-/* "a.b.c.d" and "a.b.c.d:port"; 0 or LC_ERR_INVALID. */
+/* Parse "a.b.c.d" and "a.b.c.d:port": 0 or LC_ERR_INVALID. */
 int lc_settings_parse_ipv4 (const char *text, uint32_t *ipv4);
 int lc_settings_parse_address (const char *text, LcSocketAddress *address);
 
--- a/src/io/lc-timer.c
+++ b/src/io/lc-timer.c
@@ -20,13 +20,13 @@
   int fd;
   GPtrArray *heap; /* LcTimer; heap[i - 1] has position i */
   uint64_t next_order;
-  int64_t armed_us; /* deadline set in the timerfd; 0: none */
-  uint32_t n_users; /* timers between init and finish */
+  int64_t armed_us;  /* the timerfd's deadline; 0: none */
+  uint32_t n_timers; /* between init and finish */
   bool is_running;
   LcTimerQueue *next; /* of this thread */
 };
 
-/* A loop has no place for a pointer of ours, so each thread lists the queues of its loops. */
+/* An h2o loop has no user pointer, so each thread lists the queues of its loops. */
 static __thread LcTimerQueue *lc_timer__queues;
 
 /* === private: the heap ====================================================================== */
@@ -103,7 +103,7 @@
 
 /* === private: the queue ===================================================================== */
 
-/* Sets the timerfd to the earliest deadline, when that has changed. */
+/* Sets the timerfd to the earliest deadline if that changed. */
 static void
 lc_timer__arm (LcTimerQueue *queue)
 {
@@ -131,8 +131,8 @@
   g_free (queue);
 }
 
-/* Runs what was due and started before this turn, so that a callback which starts its timer with
- * 0 ms can't hold the loop. */
+/* Runs due timers that were started before this turn, so that a callback that restarts its timer
+ * with 0 ms can't starve the loop. */
 static void
 lc_timer__run_due (LcTimerQueue *queue)
 {
@@ -162,7 +162,7 @@
   (void)!read (queue->fd, &expirations, sizeof expirations);
   queue->armed_us = 0;
   lc_timer__run_due (queue);
-  if (queue->n_users == 0)
+  if (queue->n_timers == 0)
     lc_timer__free_queue (queue);
   else
     lc_timer__arm (queue);
@@ -198,7 +198,7 @@
 {
   memset (timer, 0, sizeof *timer);
   timer->queue = lc_timer__queue_of (loop);
-  timer->queue->n_users++;
+  timer->queue->n_timers++;
   timer->fired = fired;
   timer->user = user;
 }
@@ -218,7 +218,6 @@
   lc_timer__arm (queue);
 }
 
-/* The timerfd may stay armed for the stopped timer: one idle wake-up is cheaper than a call. */
 void
 lc_timer_hasten (LcTimer *timer, uint32_t after_ms)
 {
@@ -227,6 +226,7 @@
     lc_timer_start (timer, after_ms);
 }
 
+/* Leaves the timerfd armed: one spurious wake-up is cheaper than a system call. */
 void
 lc_timer_stop (LcTimer *timer)
 {
@@ -243,7 +243,7 @@
     return;
   lc_timer_stop (timer);
   timer->queue = NULL;
-  queue->n_users--;
-  if (queue->n_users == 0 && !queue->is_running)
+  queue->n_timers--;
+  if (queue->n_timers == 0 && !queue->is_running)
     lc_timer__free_queue (queue);
 }
--- a/src/io/lc-wire-member.c
+++ b/src/io/lc-wire-member.c
@@ -95,7 +95,7 @@
   return r < 0 ? r : lc_wire_member__read_body (change, message, error);
 }
 
-/* === public: folds and subscriptions ======================================================== */
+/* === public: acknowledgements and subscriptions ============================================= */
 
 void
 lc_wire_member_fold_write (Lc__Wire__MemberFold *message, const LcFold *fold)
@@ -171,7 +171,7 @@
 }
 
 static const ProtobufCMessageDescriptor *
-lc_wire_member__descriptor (uint16_t type, bool takes_queries)
+lc_wire_member__descriptor (uint16_t type, bool allow_queries)
 {
   switch (type)
     {
@@ -184,16 +184,16 @@
     case LC_FRAME_MEMBER_REPORT:
       return &lc__wire__member_report__descriptor;
     case LC_FRAME_MEMBER_LEASE_QUERY:
-      return takes_queries ? &lc__wire__lease_query__descriptor : NULL;
+      return allow_queries ? &lc__wire__lease_query__descriptor : NULL;
     default:
       return NULL;
     }
 }
 
 ProtobufCMessage *
-lc_wire_member_unpack_up (const LcFrame *frame, bool takes_queries)
+lc_wire_member_unpack_up (const LcFrame *frame, bool allow_queries)
 {
-  const ProtobufCMessageDescriptor *d = lc_wire_member__descriptor (frame->type, takes_queries);
+  const ProtobufCMessageDescriptor *d = lc_wire_member__descriptor (frame->type, allow_queries);
 
   return d != NULL ? protobuf_c_message_unpack (d, NULL, frame->payload_len, frame->payload) : NULL;
 }
--- a/src/io/lc-wire-member.h
+++ b/src/io/lc-wire-member.h
@@ -1,13 +1,16 @@
-/* lc-wire-member: membership changes and acknowledgements to and from their messages.
+/* lc-wire-member: converts membership changes, acknowledgements and scopes to and from protobuf.
  *
  * HOW TO USE IT
- *   Sending:  LcWireMemberChange wire;                  strings point into `change`
- *             lc_wire_member_change_write (&wire, &change);
- *             ... wire.message ...
- *   Receiving: lc_wire_member_change_read (&change, message, &error) copies everything.
+ *   Sending:
+ *     LcWireMemberChange wire;
+ *     lc_wire_member_change_write (&wire, &change);
+ *     ... wire.message ...
+ *   Receiving:
+ *     r = lc_wire_member_change_read (&change, message, &error);
  *
  * LIFETIME
- *   A written message is valid while the change it was written from is.
+ *   Strings of a written message point into the value it was written from.  Reading copies
+ *   everything.
  */
 #ifndef LC_WIRE_MEMBER_H
 #define LC_WIRE_MEMBER_H
@@ -27,7 +30,7 @@
 } LcWireMemberChange;
 
 void lc_wire_member_change_write (LcWireMemberChange *wire, const LcMemberChange *change);
-/* 0 or LC_ERR_INVALID: unknown kind, missing body, a name that is empty or too long. */
+/* 0, or LC_ERR_INVALID: unknown kind, missing body, an empty or too long name. */
 int lc_wire_member_change_read (LcMemberChange *change,
                                 const Lc__Wire__MemberChange *message,
                                 LcError *error);
@@ -35,7 +38,6 @@
 void lc_wire_member_fold_write (Lc__Wire__MemberFold *message, const LcFold *fold);
 void lc_wire_member_fold_read (LcFold *fold, const Lc__Wire__MemberFold *message);
 
-/* Strings point into `scope`. */
 void lc_wire_member_subscribe_write (Lc__Wire__MemberSubscribe *message,
                                      const LcScope *scope,
                                      LcRevision from);
@@ -43,18 +45,18 @@
                                const Lc__Wire__MemberSubscribe *message,
                                LcError *error);
 
-/* The control VMs that a status names.  `packed` must live as long as the message. */
+/* The control VMs listed by a status; `packed` must live as long as the message. */
 void lc_wire_member_control_write (Lc__Wire__MemberStatus *message,
                                    uint64_t packed[LC_CONTROL_VMS_MAX],
                                    const LcSocketAddress *list,
                                    uint32_t n);
-/* Returns how many there are; those above the bound are left out. */
+/* Returns their number; those beyond LC_CONTROL_VMS_MAX are ignored. */
 uint32_t lc_wire_member_control_read (LcSocketAddress list[LC_CONTROL_VMS_MAX],
                                       const Lc__Wire__MemberStatus *message);
 
-/* What a member sends up: hello, renewal, subscription or report, and where `takes_queries` is set
- * the lease query of another watcher.  NULL: another type, or a payload that does not unpack.  Free
- * it with protobuf_c_message_free_unpacked. */
-ProtobufCMessage *lc_wire_member_unpack_up (const LcFrame *frame, bool takes_queries);
+/* Unpacks a message of a member: hello, renewal, subscription or report, or with `allow_queries`
+ * the lease query of another watcher.  NULL: another type, or a malformed payload.  Free it with
+ * protobuf_c_message_free_unpacked. */
+ProtobufCMessage *lc_wire_member_unpack_up (const LcFrame *frame, bool allow_queries);
 
 #endif /* LC_WIRE_MEMBER_H */
--- a/src/io/lc-wire-snapshot.c
+++ b/src/io/lc-wire-snapshot.c
@@ -7,7 +7,7 @@
   LC_WIRE_SNAPSHOT_PART_OPS = 512,
 };
 
-/* Collects operations into messages of a bounded number of operations. */
+/* Splits a stream of operations into messages of bounded size. */
 typedef struct
 {
   LcWireViewOps batch;
--- a/src/io/lc-wire-snapshot.h
+++ b/src/io/lc-wire-snapshot.h
@@ -1,4 +1,4 @@
-/* lc-wire-snapshot: a view, or the part of it in a scope, as encoded snapshot parts.
+/* lc-wire-snapshot: encodes a view, or the part of it in a scope, as a series of snapshot parts.
  *
  * HOW TO USE IT
  *     GPtrArray *parts = lc_wire_snapshot_encode (&scope, &view);    GByteArray each
@@ -6,7 +6,7 @@
  *     g_ptr_array_free (parts, TRUE);
  *
  * LIMITS
- *   512 operations a part, so that a part stays far below a frame's limit.
+ *   512 operations a part, which keeps a part far below a frame's limit.
  */
 #ifndef LC_WIRE_SNAPSHOT_H
 #define LC_WIRE_SNAPSHOT_H
--- a/src/io/lc-wire-view.c
+++ b/src/io/lc-wire-view.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* One allocation an operation: the message, its body, and the strings they point to. */
+/* One allocation an operation: the message, its body and their strings. */
 typedef struct
 {
   Lc__Wire__ViewOp op;
@@ -16,7 +16,7 @@
     Lc__Wire__Route route;
   };
   Lc__Wire__Former former;
-  LcViewOp source; /* strings live here */
+  LcViewOp source; /* owns the strings */
 } LcWireViewOp;
 
 /* === private: writing ======================================================================= */
@@ -317,7 +317,7 @@
   return lc_wire_view__copy (address->homes, sizeof address->homes, message->homes, error);
 }
 
-/* The body that an operation of this kind must carry. */
+/* The body that an operation of this kind requires. */
 static Lc__Wire__ViewOp__BodyCase
 lc_wire_view__body_of (uint32_t kind)
 {
--- a/src/io/lc-wire-view.h
+++ b/src/io/lc-wire-view.h
@@ -1,10 +1,14 @@
-/* lc-wire-view: view operations to and from their protobuf-c messages.
+/* lc-wire-view: converts view operations to and from protobuf messages.
  *
  * HOW TO USE IT
- *   Sending:  LcWireViewOps batch; lc_wire_view_ops_init (&batch);
- *             lc_wire_view_ops_add (&batch, &op); ... use batch.ops / batch.n_ops in a message ...
- *             lc_wire_view_ops_finish (&batch);
- *   Receiving: lc_wire_view_op_read (&op, message, &error) copies everything out of the message.
+ *   Sending:
+ *     LcWireViewOps batch;
+ *     lc_wire_view_ops_init (&batch);
+ *     lc_wire_view_ops_add (&batch, &op);
+ *     ... batch.ops and batch.n_ops are fields of a message ...
+ *     lc_wire_view_ops_finish (&batch);
+ *   Receiving:
+ *     r = lc_wire_view_op_read (&op, message, &error);   copies everything
  *
  * LIMITS
  *   Names longer than LC_NAME_MAX or LC_PATH_MAX are refused with LC_ERR_INVALID.
@@ -26,10 +30,10 @@
 void lc_wire_view_ops_add (LcWireViewOps *batch, const LcViewOp *op);
 void lc_wire_view_ops_finish (LcWireViewOps *batch);
 
-/* Reads one operation; 0 or LC_ERR_INVALID. */
+/* 0 or LC_ERR_INVALID. */
 int lc_wire_view_op_read (LcViewOp *op, const Lc__Wire__ViewOp *message, LcError *error);
 
-/* One endpoint alone, for announcements. */
+/* A single endpoint or balancer, for announcements. */
 void lc_wire_endpoint_write (Lc__Wire__Endpoint *message, const LcEndpoint *endpoint);
 int lc_wire_endpoint_read (LcEndpoint *endpoint, const Lc__Wire__Endpoint *message, LcError *error);
 void lc_wire_balancer_write (Lc__Wire__Balancer *message, const LcBalancer *balancer);
