--- a/tests/adapter/prop-report.cc
+++ b/tests/adapter/prop-report.cc
@@ -1,7 +1,5 @@
-/* Reports of a backend server that starts again under its id, in any order, doubled and late,
- * searched by RapidCheck: the newest start that was heard of decides, by its own furthest word, and
- * nothing of an earlier start changes that.
- */
+/* RapidCheck on reports of a backend server that restarts, reordered, duplicated and late: the
+ * state is the furthest that the newest start reported; no report of an earlier start changes it. */
 #include "core/member/lc-backend-status.h"
 
 #include <rapidcheck.h>
@@ -16,38 +14,38 @@
 const uint64_t N_STARTS = 4;
 const uint64_t N_SEQUENCES = 6;
 
-struct Word
+struct Report
 {
-  uint64_t start;    /* 1 to N_STARTS, in the order of their times */
+  uint64_t start;    /* 1 to N_STARTS, in order of time */
   uint64_t sequence; /* 1 to N_SEQUENCES */
   bool is_draining;
 };
 
 void
-showValue (const Word &w, std::ostream &os)
+showValue (const Report &report, std::ostream &os)
 {
-  os << "{start " << w.start << ", sequence " << w.sequence
-     << (w.is_draining ? ", draining}" : "}");
+  os << "{start " << report.start << ", sequence " << report.sequence
+     << (report.is_draining ? ", draining}" : "}");
 }
 
-rc::Gen<std::vector<Word> >
-words ()
+rc::Gen<std::vector<Report> >
+reports ()
 {
-  return rc::gen::container<std::vector<Word> > (rc::gen::build<Word> (
-      rc::gen::set (&Word::start, rc::gen::inRange<uint64_t> (1, N_STARTS + 1)),
-      rc::gen::set (&Word::sequence, rc::gen::inRange<uint64_t> (1, N_SEQUENCES + 1)),
-      rc::gen::set (&Word::is_draining, rc::gen::arbitrary<bool> ())));
+  return rc::gen::container<std::vector<Report> > (rc::gen::build<Report> (
+      rc::gen::set (&Report::start, rc::gen::inRange<uint64_t> (1, N_STARTS + 1)),
+      rc::gen::set (&Report::sequence, rc::gen::inRange<uint64_t> (1, N_SEQUENCES + 1)),
+      rc::gen::set (&Report::is_draining, rc::gen::arbitrary<bool> ())));
 }
 
 LcBackendReport
-report_of (const Word &w)
+report_of (const Report &report)
 {
   LcBackendReport r = {};
 
   std::strcpy (r.id, "a");
-  r.born_ms = 1000 + w.start;
-  r.sequence = w.sequence;
-  r.state = w.is_draining ? LC_BACKEND_DRAINING : LC_BACKEND_READY;
+  r.born_ms = 1000 + report.start;
+  r.sequence = report.sequence;
+  r.state = report.is_draining ? LC_BACKEND_DRAINING : LC_BACKEND_READY;
   return r;
 }
 
@@ -56,33 +54,33 @@
 int
 main ()
 {
-  bool ok = rc::check ("the newest start decides, by its own furthest word", [] {
-    std::vector<Word> all = *words ();
+  bool ok = rc::check ("the newest start decides, by the furthest state it reported", [] {
+    std::vector<Report> all = *reports ();
     LcBackendStatusDesc desc = {};
     LcBackendStatus status;
     uint64_t newest = 0;
     bool has_drained = false;
 
     lc_backend_status_init (&status, &desc, 0);
-    for (const Word &w : all)
+    for (const Report &report : all)
       {
-        LcBackendReport r = report_of (w);
-        LcBackendUpdate news = lc_backend_status_apply (&status, &r, 1000);
+        LcBackendReport r = report_of (report);
+        LcBackendUpdate update = lc_backend_status_apply (&status, &r, 1000);
 
-        if (w.start > newest)
+        if (report.start > newest)
           {
-            RC_ASSERT (news == LC_BACKEND_STARTED);
-            newest = w.start;
-            has_drained = w.is_draining;
+            RC_ASSERT (update == LC_BACKEND_STARTED);
+            newest = report.start;
+            has_drained = report.is_draining;
             continue;
           }
-        RC_ASSERT (news != LC_BACKEND_STARTED);
-        if (w.start < newest)
+        RC_ASSERT (update != LC_BACKEND_STARTED);
+        if (report.start < newest)
           {
-            RC_ASSERT (news == LC_BACKEND_STALE);
+            RC_ASSERT (update == LC_BACKEND_STALE);
             continue;
           }
-        has_drained = has_drained || (news != LC_BACKEND_STALE && w.is_draining);
+        has_drained = has_drained || (update != LC_BACKEND_STALE && report.is_draining);
         RC_ASSERT (status.newest.born_ms == 1000 + newest);
         RC_ASSERT (lc_backend_status_is_available (&status, 1000) == !has_drained);
       }
@@ -97,24 +95,24 @@
       }
   });
 
-  /* A cut holds reports back and heals: the last word of a start that has crashed may come after
-   * its successor registered, and while that one's own reports are still under way. */
-  ok = rc::check ("a start that goes on reporting is known within seconds, whatever came late",
+  /* After a network cut, the last report of a crashed start may arrive after its successor has
+   * registered, while the successor's own reports are still delayed. */
+  ok = rc::check ("a start that keeps reporting is accepted within seconds, whatever arrives late",
                   [] {
                     const bool has_new_ids = *rc::gen::arbitrary<bool> ();
-                    std::vector<Word> late = *words ();
+                    std::vector<Report> late = *reports ();
                     LcBackendStatusDesc desc = {};
                     LcBackendStatus status;
                     int64_t now_us = 0;
 
                     lc_backend_status_init (&status, &desc, 0);
-                    for (const Word &w : late)
+                    for (const Report &report : late)
                       {
-                        LcBackendReport r = report_of (w);
+                        LcBackendReport r = report_of (report);
 
                         now_us += *rc::gen::inRange<int64_t> (0, 6) * LC_US_PER_S;
-                        r.id[0] = has_new_ids ? (char)('a' + w.start) : 'a';
-                        r.state = w.start == N_STARTS ? LC_BACKEND_READY : r.state;
+                        r.id[0] = has_new_ids ? (char)('a' + report.start) : 'a';
+                        r.state = report.start == N_STARTS ? LC_BACKEND_READY : r.state;
                         (void)lc_backend_status_apply (&status, &r, now_us);
                       }
                     for (uint64_t i = 1; i <= 8; i++)
--- a/tests/adapter/test-declaration.c
+++ b/tests/adapter/test-declaration.c
@@ -1,4 +1,5 @@
-/* Configurations of the users' platform: what is read and what is refused, as a table. */
+/* Configurations of the users' platform: which are accepted, how they are parsed, and which are
+ * refused. */
 #include "platform/lc-platform-declaration.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -149,35 +150,17 @@
 }
 END_TEST
 
-/* A service is held to the strictest objective of its routes. */
+#define OBJECTIVE(prefix, latency, service)                                                        \
+  ROUTE ("198.18.0.1", prefix, "\"timeoutMs\":1," latency "\"backend\":\"" service "\"")
+#define OBJECTIVES                                                                                 \
+  OBJECTIVE ("/1/", "\"targetLatencyMs\":150,", "a")                                               \
+  "," OBJECTIVE ("/2/", "\"targetLatencyMs\":120,", "a") "," OBJECTIVE (                           \
+      "/3/", "\"targetLatencyMs\":99999999999,", "b") "," OBJECTIVE ("/4/", "", "a")
+
+/* A service gets the strictest objective of its routes. */
 START_TEST (test_objectives)
 {
-  static const char BODY[] = DOCUMENT (
-      "7",
-      ROUTE ("198.18.0.1", "/1/", "\"timeoutMs\":1,\"targetLatencyMs\":150,\"backend\":\"a\"") "," ROUTE (
-          "198.18.0.1", "/2/",
-          "\"timeoutMs\":1,\"targetLatencyMs\":120,\"backend\":"
-          "\"a\"") "," ROUTE ("198.18.0.1", "/3/",
-                              "\"timeoutMs\":1,"
-                              "\"targetLatencyMs\":99999999999,"
-                              "\"backend\":\"b\"") "," ROUTE ("198"
-                                                              ".18"
-                                                              ".0."
-                                                              "1",
-                                                              "/4"
-                                                              "/",
-                                                              "\"t"
-                                                              "ime"
-                                                              "out"
-                                                              "Ms"
-                                                              "\":"
-                                                              "1,"
-                                                              "\"b"
-                                                              "ack"
-                                                              "end"
-                                                              "\":"
-                                                              "\"a"
-                                                              "\""));
+  static const char BODY[] = DOCUMENT ("7", OBJECTIVES);
   LcNumberedDeclaration n;
   LcError error = { 0 };
 
@@ -189,7 +172,7 @@
 }
 END_TEST
 
-/* What a cold backend server bears; a rate that is stated never becomes none. */
+/* The rate of a cold backend server; a tiny declared rate is not rounded to 0, which means none. */
 START_TEST (test_cold_rates)
 {
   static const struct
@@ -229,7 +212,7 @@
 }
 END_TEST
 
-START_TEST (test_a_megabyte)
+START_TEST (test_megabyte_of_empty_routes)
 {
   GString *body = g_string_new ("{\"version\":7,\"routes\":[");
   LcNumberedDeclaration n;
@@ -254,7 +237,7 @@
   tcase_add_test (tcase, test_homes);
   tcase_add_test (tcase, test_objectives);
   tcase_add_test (tcase, test_cold_rates);
-  tcase_add_test (tcase, test_a_megabyte);
+  tcase_add_test (tcase, test_megabyte_of_empty_routes);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
--- a/tests/adapter/test-evacuation-call.c
+++ b/tests/adapter/test-evacuation-call.c
@@ -1,4 +1,4 @@
-/* Orders of the users' platform to empty a place: what is read and what is refused, as a table. */
+/* Evacuation calls of the users' platform: which are recognised, parsed and refused. */
 #include "platform/lc-platform-evacuation.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -45,7 +45,7 @@
   ck_assert_str_eq (order.data_centre, CASES[_i].data_centre);
   ck_assert (order.is_wanted == CASES[_i].is_wanted);
   ck_assert ((error.remedy[0] != '\0') == (CASES[_i].code != 0));
-  /* It counts as confirmed: the platform shows no plan that could warn. */
+  /* Needs no confirmation: the platform shows no plan that could warn. */
   ck_assert (order.allow_empty == (CASES[_i].code == 0));
 }
 END_TEST
--- a/tests/adapter/test-packet-head.c
+++ b/tests/adapter/test-packet-head.c
@@ -1,11 +1,11 @@
-/* The head of the users' platform before a packet: parsing, marks and resets as tables. */
+/* The users' platform's packet header: parsing, marks and resets. */
 #include "platform/lc-platform-packet.h"
 #include "tests/fakes/lc-fake-run.h"
 
 #include <check.h>
 #include <string.h>
 
-/* The example of the platform's description: a first packet, 100.64.0.7:40001 to 198.18.0.1:443. */
+/* The first packet in the platform's specification, 100.64.0.7:40001 to 198.18.0.1:443. */
 static const uint8_t FIRST[LC_PLATFORM_HEAD_BYTES] = { 0x80, 0,    0,    0,    0,    0,    0x11,
                                                        0x22, 0x33, 0x44, 0,    0,    0,    0,
                                                        0,    0,    0,    0,    0xc6, 0x12, 0x00,
@@ -34,10 +34,10 @@
   { "reset", 0, 0x10, 34, LC_OK, false, false, true, true, false },
   { "returned first packet", 0, 0x84, 34, LC_OK, true, false, false, false, true },
   { "returned packet", 0, 0x05, 34, LC_OK, false, false, false, false, true },
-  { "head cut short", -1, 0, 33, LC_ERR_TRUNCATED, false, false, false, false, false },
+  { "header cut short", -1, 0, 33, LC_ERR_TRUNCATED, false, false, false, false, false },
   { "nothing", -1, 0, 0, LC_ERR_TRUNCATED, false, false, false, false, false },
   { "data cut short", 5, 4, 37, LC_ERR_TRUNCATED, false, false, false, false, false },
-  { "more than it says", 5, 4, 39, LC_ERR_INVALID, false, false, false, false, false },
+  { "longer than len", 5, 4, 39, LC_ERR_INVALID, false, false, false, false, false },
   { "data", 5, 4, 38, LC_OK, true, false, false, false, false },
   { "longest data", 4, 0x04, 34 + 1024, LC_OK, true, false, false, false, false },
   { "too much data", 4, 0x05, 34 + 1280, LC_ERR_INVALID, false, false, false, false, false },
@@ -79,7 +79,7 @@
   ck_assert_uint_eq (packet.key.source_port, 40001);
   ck_assert_uint_eq (packet.key.target_port, 443);
   ck_assert_uint_eq (packet.n_copies, 0);
-  bytes[13] = 2; /* of a first packet: copies sent before; of another one: acknowledged */
+  bytes[13] = 2; /* copies sent before a first packet; else acknowledged */
   ck_assert_int_eq (lc_platform_packet_parse (&packet, bytes, sizeof bytes), 0);
   ck_assert_uint_eq (packet.n_copies, 2);
   ck_assert_uint_eq (packet.acknowledged, 0);
@@ -90,7 +90,7 @@
 }
 END_TEST
 
-/* A mark changes the field that is ours and the sign of a return, and no other byte. */
+/* Setting a mark changes only `echo` and BOUNCED: the sum covers all else but pad. */
 START_TEST (test_mark)
 {
   static const uint32_t MARKS[] = { 0, 1, 32, 0xfffffffe };
@@ -111,7 +111,7 @@
 }
 END_TEST
 
-/* The example of the platform's description of a reset. */
+/* The example of a reset in the platform's specification. */
 START_TEST (test_reset)
 {
   static const uint8_t RESET[LC_PLATFORM_HEAD_BYTES] = {
--- a/tests/adapter/test-report.c
+++ b/tests/adapter/test-report.c
@@ -1,4 +1,4 @@
-/* Reports of backend servers: what is read, what is refused, and what late and doubled ones do. */
+/* Reports of backend servers: parsing, refusal, and the effect of late and duplicate ones. */
 #include "platform/lc-platform-report.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -113,7 +113,7 @@
 }
 END_TEST
 
-/* === orders of reports ====================================================================== */
+/* === sequences of reports =================================================================== */
 
 typedef struct
 {
@@ -128,15 +128,15 @@
 {
   const char *what;
   Step steps[6];
-  bool is_open; /* at the end */
-} OrderCase;
+  bool is_available; /* at the end */
+} SequenceCase;
 
-static const OrderCase ORDERS[] = {
+static const SequenceCase SEQUENCES[] = {
   { "usual",
     { { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED },
       { "a", LC_BACKEND_READY, 2, LC_BACKEND_UNCHANGED } },
     true },
-  { "doubled",
+  { "duplicate",
     { { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STALE } },
     true },
@@ -144,84 +144,82 @@
     { { "a", LC_BACKEND_READY, 5, LC_BACKEND_STARTED },
       { "a", LC_BACKEND_READY, 3, LC_BACKEND_STALE } },
     true },
-  { "late word of readiness after that of leaving",
+  { "ready, sent before draining, arrives after it",
     { { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED },
       { "a", LC_BACKEND_DRAINING, 3, LC_BACKEND_CHANGED },
       { "a", LC_BACKEND_READY, 2, LC_BACKEND_STALE } },
     false },
-  { "readiness after leaving, whatever its number",
+  { "ready after draining is refused whatever its sequence",
     { { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED },
       { "a", LC_BACKEND_DRAINING, 2, LC_BACKEND_CHANGED },
       { "a", LC_BACKEND_READY, 9, LC_BACKEND_STALE } },
     false },
-  { "first seen while it leaves", { { "a", LC_BACKEND_DRAINING, 7, LC_BACKEND_STARTED } }, false },
+  { "first seen while draining", { { "a", LC_BACKEND_DRAINING, 7, LC_BACKEND_STARTED } }, false },
   { "ended",
     { { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED },
       { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_CHANGED },
       { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_STALE } },
     false },
-  { "the end of one that was never seen",
-    { { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_STALE } },
-    false },
-  { "started again",
+  { "the end of an unknown start", { { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_STALE } }, false },
+  { "restarted under another id",
     { { "a", LC_BACKEND_DRAINING, 8, LC_BACKEND_STARTED },
       { "b", LC_BACKEND_READY, 1, LC_BACKEND_STARTED },
       { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_STALE },
       { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_STALE } },
     true },
-  { "started again under the same id: its sequence begins anew",
+  { "restarted under the same id: its sequence restarts",
     { { "a", LC_BACKEND_READY, 40, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 2000 },
       { "a", LC_BACKEND_READY, 2, LC_BACKEND_UNCHANGED, 2000 } },
     true },
-  { "started again under the same id after it was leaving",
+  { "restarted under the same id after draining",
     { { "a", LC_BACKEND_DRAINING, 40, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 2000 },
       { "a", LC_BACKEND_DRAINING, 41, LC_BACKEND_STALE, 1000 } },
     true },
-  { "started again under the same id after it ended",
+  { "restarted under the same id after it ended",
     { { "a", LC_BACKEND_DRAINING, 40, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_CHANGED },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 2000 } },
     true },
-  { "an earlier start's word comes behind two others",
+  { "a report of an earlier start arrives after two later ones",
     { { "a", LC_BACKEND_READY, 9, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 2000 },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 3000 },
       { "a", LC_BACKEND_DRAINING, 99, LC_BACKEND_STALE, 2000 },
       { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_STALE, 1000 } },
     true },
-  { "the first word that is seen is an earlier start's",
+  { "the first report received is of an earlier start",
     { { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 2000 },
       { "a", LC_BACKEND_DRAINING, 10, LC_BACKEND_STALE, 1000 } },
     true },
-  { "a word without its start says nothing of one that named it",
+  { "a report without `born` doesn't apply to a start with it",
     { { "a", LC_BACKEND_READY, 3, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_STALE } },
     true },
-  { "the end, without its start, of one that never said that it leaves",
+  { "an end without `born`, and no draining report before",
     { { "a", LC_BACKEND_READY, 3, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_STALE } },
     true },
-  { "the end of the start that it names",
+  { "an end with the `born` of that start",
     { { "a", LC_BACKEND_READY, 3, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_ENDED, 0, LC_BACKEND_CHANGED, 1000 } },
     false },
-  { "another id, of an earlier start, while the known one is heard",
+  { "another id of an earlier start while the known one reports",
     { { "b", LC_BACKEND_READY, 3, LC_BACKEND_STARTED, 2000 },
       { "a", LC_BACKEND_DRAINING, 9, LC_BACKEND_STALE, 1000 } },
     true },
-  { "it begins to name its start",
+  { "begins to send `born`",
     { { "a", LC_BACKEND_DRAINING, 3, LC_BACKEND_STARTED },
       { "a", LC_BACKEND_READY, 1, LC_BACKEND_STARTED, 1000 },
       { "a", LC_BACKEND_DRAINING, 4, LC_BACKEND_STALE } },
     true },
 };
 
-START_TEST (test_orders)
+START_TEST (test_sequences)
 {
-  const OrderCase *c = &ORDERS[_i];
+  const SequenceCase *c = &SEQUENCES[_i];
   LcBackendStatusDesc desc = { 0 };
   LcBackendStatus status;
 
@@ -236,7 +234,7 @@
       ck_assert_msg (lc_backend_status_apply (&status, &report, 1000) == c->steps[i].expected,
                      "%s: step %d", c->what, i);
     }
-  ck_assert_msg (lc_backend_status_is_available (&status, 1000) == c->is_open, "%s", c->what);
+  ck_assert_msg (lc_backend_status_is_available (&status, 1000) == c->is_available, "%s", c->what);
 }
 END_TEST
 
@@ -245,7 +243,7 @@
   static const struct
   {
     int64_t after_us;
-    bool is_open;
+    bool is_available;
   } CASES[] = { { 0, true }, { 2400000, true }, { 2500000, true }, { 2500001, false } };
   LcBackendStatusDesc desc = { .interval_ms = 1000 };
   LcBackendReport report = { .id = "a", .state = LC_BACKEND_READY, .sequence = 1 };
@@ -257,13 +255,14 @@
   (void)lc_backend_status_apply (&status, &report, 0);
   ck_assert_uint_ne (lc_backend_status_instance (&status), 0);
   for (size_t i = 0; i < sizeof CASES / sizeof CASES[0]; i++)
-    ck_assert (lc_backend_status_is_available (&status, CASES[i].after_us) == CASES[i].is_open);
+    ck_assert (lc_backend_status_is_available (&status, CASES[i].after_us) ==
+               CASES[i].is_available);
 }
 END_TEST
 
-/* An agent that has started again beside a backend server that goes on: until its first report it
- * is asked, unless the view says that it leaves, and not for ever. */
-START_TEST (test_nothing_reported_yet)
+/* After an agent's restart its backend server is tried before its first report, for a bounded time
+ * and unless the view lists it as leaving. */
+START_TEST (test_before_first_report)
 {
   static const struct
   {
@@ -271,13 +270,13 @@
     bool is_candidate;
     int64_t after_us;
     bool has_reported;
-    bool may_ask;
+    bool may_try;
   } CASES[] = {
     { "right after the start", true, 0, false, true },
     { "an interval after the start", true, 1200000, false, true },
-    { "its report has failed to come", true, 1500001, false, false },
-    { "the view says that it leaves", false, 0, false, false },
-    { "it has reported itself: its own word counts", true, 100000, true, false },
+    { "no report for too long", true, 1500001, false, false },
+    { "the view lists it as leaving", false, 0, false, false },
+    { "it reported: the report decides", true, 100000, true, false },
   };
   LcBackendReport report = { .id = "a", .state = LC_BACKEND_DRAINING, .sequence = 1 };
 
@@ -290,13 +289,13 @@
       if (CASES[i].has_reported)
         (void)lc_backend_status_apply (&status, &report, 7000);
       ck_assert_msg (lc_backend_status_may_try (&status, CASES[i].is_candidate,
-                                                7000 + CASES[i].after_us) == CASES[i].may_ask,
+                                                7000 + CASES[i].after_us) == CASES[i].may_try,
                      "%s", CASES[i].what);
     }
 }
 END_TEST
 
-/* Cold for as long as its newest report says; of one that has said nothing it is not known. */
+/* Cold for as long as the newest report states; without a report it is assumed cold. */
 START_TEST (test_cold)
 {
   static const struct
@@ -310,7 +309,7 @@
     { "nothing reported", false, 0, 9000000, true },
     { "warm", true, 0, 0, false },
     { "cold", true, 2000, 1999999, true },
-    { "no longer cold", true, 2000, 2000000, false },
+    { "cold period over", true, 2000, 2000000, false },
   };
 
   for (size_t i = 0; i < sizeof CASES / sizeof CASES[0]; i++)
@@ -331,8 +330,8 @@
 }
 END_TEST
 
-/* The agent has started again, and a report of an earlier start of its backend server, held up on
- * its way, comes after that of the present one. */
+/* After an agent's restart, a delayed report of an earlier start of its backend server arrives
+ * after that of the current start. */
 START_TEST (test_report_of_an_earlier_start)
 {
   static const char *const IDS[] = { "old", "new" };
@@ -355,7 +354,7 @@
   (void)strcpy (report.id, "old");
   ck_assert_int_eq (lc_backend_status_apply (&status, &report, 20), LC_BACKEND_STALE);
   ck_assert_uint_eq (lc_backend_status_instance (&status), instances[1]);
-  /* The one that the view names is no other when it reports itself. */
+  /* A report of the start that the view lists is accepted. */
   lc_backend_status_init (&status, &desc, 0);
   lc_backend_status_set_listed (&status, instances[0]);
   ck_assert_int_eq (lc_backend_status_apply (&status, &report, 10), LC_BACKEND_STARTED);
@@ -364,8 +363,8 @@
 }
 END_TEST
 
-/* An agent that has started again knows from the view which start it is; a word of an earlier one,
- * held up behind a cut, comes first. */
+/* A restarted agent has the current start from the view; a report of an earlier one, delayed by a
+ * network cut, arrives first. */
 START_TEST (test_earlier_start_after_a_restart)
 {
   LcBackendStatusDesc desc = { 0 };
@@ -396,8 +395,9 @@
 }
 END_TEST
 
-/* A clock that stepped back before the start under a new id costs one silence, not the server. */
-START_TEST (test_new_id_behind_a_clock_step)
+/* If the clock stepped back before a start under a new id, the server is accepted after one silence
+ * limit, not never. */
+START_TEST (test_new_id_after_a_clock_step)
 {
   static const struct
   {
@@ -420,10 +420,10 @@
 }
 END_TEST
 
-/* The last word of a crashed start, held back by a cut, comes while its successor is silent for the
- * same reason, to an agent that knows nothing of the crashed one.  The successor went on reporting
- * and was never believed again: each of its words counted as one of an earlier start. */
-START_TEST (test_late_word_in_a_silence)
+/* While a network cut silences a successor, the delayed last report of the crashed start before it
+ * reaches an agent that doesn't hold that start.  The successor's later reports were then refused
+ * for good, each as one of an earlier start. */
+START_TEST (test_late_report_in_a_silence)
 {
   static const struct
   {
@@ -432,9 +432,9 @@
     uint64_t born_ms;
     uint64_t sequence;
     LcBackendUpdate expected;
-  } WORDS[] = {
+  } REPORTS[] = {
     { 0, "b", 2000, 1, LC_BACKEND_STARTED },
-    { 5000, "a", 1000, 90, LC_BACKEND_STARTED }, /* as behind a clock step: nobody else speaks */
+    { 5000, "a", 1000, 90, LC_BACKEND_STARTED }, /* accepted as after a clock step: "b" is silent */
     { 5100, "b", 2000, 5, LC_BACKEND_STALE },
     { 6300, "b", 2000, 6, LC_BACKEND_STALE },
     { 8100, "b", 2000, 8, LC_BACKEND_STARTED }, /* "a" has been silent since */
@@ -445,47 +445,47 @@
   LcBackendStatus status;
 
   lc_backend_status_init (&status, &desc, 0);
-  for (size_t i = 0; i < sizeof WORDS / sizeof WORDS[0]; i++)
+  for (size_t i = 0; i < sizeof REPORTS / sizeof REPORTS[0]; i++)
     {
       LcBackendReport report = { .state = LC_BACKEND_READY,
-                                 .sequence = WORDS[i].sequence,
-                                 .born_ms = WORDS[i].born_ms };
+                                 .sequence = REPORTS[i].sequence,
+                                 .born_ms = REPORTS[i].born_ms };
 
-      (void)strcpy (report.id, WORDS[i].id);
-      ck_assert_msg (lc_backend_status_apply (&status, &report, WORDS[i].at_ms * LC_US_PER_MS) ==
-                         WORDS[i].expected,
-                     "word %zu", i);
+      (void)strcpy (report.id, REPORTS[i].id);
+      ck_assert_msg (lc_backend_status_apply (&status, &report, REPORTS[i].at_ms * LC_US_PER_MS) ==
+                         REPORTS[i].expected,
+                     "report %zu", i);
     }
   ck_assert (lc_backend_status_is_available (&status, 9300 * LC_US_PER_MS));
 }
 END_TEST
 
-/* Two of 682 agents were up 0.1 s after their backend servers when all power came back, and got
- * the second report first.  They could not say that those hold no flow of before, so that each
- * packet whose flow was gone was tried on these two: 2,500 in a second, and callers were told 1.3 s
- * later than by all others. */
+/* After a power failure, 2 of 682 agents started 0.1 s after their backend servers and received the
+ * second report first.  They didn't take those for new, hence without older flows, so that each
+ * packet of a lost flow was tried on these two: 2,500 in a second, and resets were 1.3 s late. */
 static const struct
 {
   const char *what;
   uint64_t sequence;
   uint64_t born_ms;
-  uint64_t began_ms;
+  uint64_t agent_start_ms;
   bool is_new;
 } STARTS[] = {
   { "its first report", 1, 5000, 90000, true },
-  { "its first report, no start named", 1, 0, 90000, true },
-  { "both began together", 2, 5000, 5105, true },
-  { "the agent began later", 2, 5000, 5151, false },
-  { "the agent began before", 2, 5000, 4990, false },
-  { "no start named", 2, 0, 100, false },
-  { "began together, reported for long", 3, 5000, 5100, false },
+  { "its first report, without `born`", 1, 0, 90000, true },
+  { "both started together", 2, 5000, 5105, true },
+  { "the agent started later", 2, 5000, 5151, false },
+  { "the agent started before", 2, 5000, 4990, false },
+  { "without `born`", 2, 0, 100, false },
+  { "started together, third report", 3, 5000, 5100, false },
 };
 
 START_TEST (test_new_backend)
 {
   LcBackendReport report = { .sequence = STARTS[_i].sequence, .born_ms = STARTS[_i].born_ms };
 
-  ck_assert_msg (lc_backend_report_is_new_start (&report, STARTS[_i].began_ms) == STARTS[_i].is_new,
+  ck_assert_msg (lc_backend_report_is_new_start (&report, STARTS[_i].agent_start_ms) ==
+                     STARTS[_i].is_new,
                  "%s", STARTS[_i].what);
 }
 END_TEST
@@ -497,15 +497,15 @@
   TCase *tcase = tcase_create ("report");
 
   tcase_add_loop_test (tcase, test_read, 0, (int)(sizeof READ / sizeof READ[0]));
-  tcase_add_loop_test (tcase, test_orders, 0, (int)(sizeof ORDERS / sizeof ORDERS[0]));
+  tcase_add_loop_test (tcase, test_sequences, 0, (int)(sizeof SEQUENCES / sizeof SEQUENCES[0]));
   tcase_add_loop_test (tcase, test_new_backend, 0, (int)(sizeof STARTS / sizeof STARTS[0]));
   tcase_add_test (tcase, test_silence);
-  tcase_add_test (tcase, test_nothing_reported_yet);
+  tcase_add_test (tcase, test_before_first_report);
   tcase_add_test (tcase, test_cold);
   tcase_add_test (tcase, test_report_of_an_earlier_start);
   tcase_add_test (tcase, test_earlier_start_after_a_restart);
-  tcase_add_test (tcase, test_new_id_behind_a_clock_step);
-  tcase_add_test (tcase, test_late_word_in_a_silence);
+  tcase_add_test (tcase, test_new_id_after_a_clock_step);
+  tcase_add_test (tcase, test_late_report_in_a_silence);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
--- a/tests/platform/test-clock-step.c
+++ b/tests/platform/test-clock-step.c
@@ -1,7 +1,7 @@
-/* A step of the wall clock moves no timer of ours.
+/* Steps of the wall clock must not move timers.
  *
- * h2o's loop reads gettimeofday; this program's own definition stands before the C library's and
- * steps while timers run. */
+ * h2o's loop reads gettimeofday; the definition here overrides the C library's and steps while a
+ * timer runs. */
 #include "io/lc-clock.h"
 #include "io/lc-timer.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -13,7 +13,7 @@
 enum
 {
   AFTER_MS = 60,
-  TURN_WAIT_MS = 500, /* the loop's own wait: a timer that needs it would be late by as much */
+  TURN_WAIT_MS = 500, /* the loop's wait: a timer that depended on it would be this late */
   LIVENESS_US = 20000000,
 };
 
@@ -57,7 +57,7 @@
   step_us = STEPS_US[_i];
   while (fired_us == 0 && lc_clock_now_us () - start_us < LIVENESS_US)
     (void)h2o_evloop_run (loop, TURN_WAIT_MS);
-  ck_assert_int_gt (n_reads, 0); /* else h2o reads another clock and this test shows nothing */
+  ck_assert_int_gt (n_reads, 0); /* else h2o uses another clock, and this tests nothing */
   ck_assert_int_ge (fired_us - start_us, AFTER_MS * 1000);
   ck_assert_int_lt (fired_us - start_us, LIVENESS_US);
   lc_timer_finish (&timer);
--- a/tests/platform/test-frame.c
+++ b/tests/platform/test-frame.c
@@ -1,4 +1,4 @@
-/* Frames: whole, in pieces, and malformed. */
+/* Decoding frames that are whole, truncated at any byte, or malformed. */
 #include "io/lc-frame.h"
 #include "tests/fakes/lc-fake-run.h"
 
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A header as bytes, and what decoding it says: a size, 0 for "more", or an error. */
+/* A header and the result of decoding it: a size, 0 if more is needed, or an error. */
 static const struct
 {
   uint8_t bytes[LC_FRAME_HEADER_BYTES];
@@ -43,7 +43,7 @@
 }
 END_TEST
 
-START_TEST (test_round_trip_at_each_cut)
+START_TEST (test_round_trip_of_each_prefix)
 {
   uint8_t bytes[LC_FRAME_HEADER_BYTES + 5] = { 0 };
   LcFrame frame;
@@ -66,7 +66,7 @@
   TCase *tcase = tcase_create ("decode");
 
   tcase_add_loop_test (tcase, test_header, 0, G_N_ELEMENTS (HEADERS));
-  tcase_add_test (tcase, test_round_trip_at_each_cut);
+  tcase_add_test (tcase, test_round_trip_of_each_prefix);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
--- a/tests/platform/test-link.c
+++ b/tests/platform/test-link.c
@@ -1,4 +1,5 @@
-/* Links over real loopback: order, malformed input, reconnect, backlog, finishing in a callback. */
+/* Links over loopback TCP: order, malformed input, reconnecting, backlog, finishing in a callback,
+ * keep-alive. */
 #include "io/lc-clock.h"
 #include "io/lc-link.h"
 #include "io/lc-log.h"
@@ -32,7 +33,7 @@
   int client_ups;
   int client_downs;
   bool is_echoing;
-  bool finish_client_when_down;
+  bool finish_client_in_down;
   bool has_client;
 } World;
 
@@ -78,7 +79,7 @@
   World *w = user;
 
   w->client_downs++;
-  if (!w->finish_client_when_down)
+  if (!w->finish_client_in_down)
     return;
   lc_link_client_finish (&w->client);
   w->has_client = false;
@@ -125,7 +126,7 @@
   w->has_client = true;
 }
 
-/* Turns the loop until *counter reaches `n`. */
+/* Runs the loop until *counter reaches `n`. */
 static void
 run_until (World *w, const int *counter, int n)
 {
@@ -184,7 +185,7 @@
 }
 END_TEST
 
-/* Malformed bytes from a stranger: counted, the link is closed, and others go on. */
+/* Malformed bytes are counted and close their link, but no other one. */
 static const struct
 {
   const char *name;
@@ -199,7 +200,7 @@
 };
 
 static int
-connect_stranger (uint16_t port)
+connect_raw (uint16_t port)
 {
   struct sockaddr_in address = { .sin_family = AF_INET,
                                  .sin_port = htons (port),
@@ -217,7 +218,7 @@
 
   start_client (w, lc_link_server_port (&w->server), 0);
   run_until (w, &w->server_ups, 1);
-  fd = connect_stranger (lc_link_server_port (&w->server));
+  fd = connect_raw (lc_link_server_port (&w->server));
   ck_assert_int_eq (write (fd, MALFORMED[_i].bytes, MALFORMED[_i].len), (ssize_t)MALFORMED[_i].len);
   run_until (w, &w->server_downs, 1);
   ck_assert_uint_eq (w->server.malformed_total, 1);
@@ -231,10 +232,10 @@
 }
 END_TEST
 
-START_TEST (test_truncated_then_gone)
+START_TEST (test_truncated_then_closed)
 {
   World *w = new_world (0);
-  int fd = connect_stranger (lc_link_server_port (&w->server));
+  int fd = connect_raw (lc_link_server_port (&w->server));
 
   ck_assert_int_eq (write (fd, "LC\x01\x00\x00\x64", 6), 6);
   run_until (w, &w->server_ups, 1);
@@ -262,7 +263,7 @@
 }
 END_TEST
 
-/* The peer doesn't read: sends are refused at the bound instead of growing without end. */
+/* While the peer doesn't read, sends are refused at the bound instead of growing the backlog. */
 START_TEST (test_backlog)
 {
   World *w = new_world (0);
@@ -286,7 +287,7 @@
   int fds[3];
 
   for (int i = 0; i < 3; i++)
-    fds[i] = connect_stranger (lc_link_server_port (&w->server));
+    fds[i] = connect_raw (lc_link_server_port (&w->server));
   run_until (w, &w->server_ups, 2);
   while (w->server.refused_total == 0)
     (void)h2o_evloop_run (w->loop, TURN_WAIT_MS);
@@ -301,7 +302,7 @@
 {
   World *w = new_world (0);
 
-  w->finish_client_when_down = true;
+  w->finish_client_in_down = true;
   start_client (w, lc_link_server_port (&w->server), 0);
   run_until (w, &w->client_ups, 1);
   run_until (w, &w->server_ups, 1);
@@ -314,7 +315,7 @@
 }
 END_TEST
 
-/* A client whose memory is used for something else by a frame that it receives. */
+/* A client whose memory is freed and reused by the handler of a frame. */
 typedef struct
 {
   LcLinkClient client;
@@ -371,8 +372,8 @@
   SILENT_MS = 60,
 };
 
-/* A peer that accepts connections, or makes them, and never says a word: its kernel acknowledges
- * what comes, so TCP itself sees nothing wrong. */
+/* A peer that accepts connections and never sends: its kernel acknowledges what it receives, so TCP
+ * detects no failure. */
 static int
 silent_listener (uint16_t *port)
 {
@@ -387,7 +388,7 @@
   return fd;
 }
 
-START_TEST (test_client_leaves_a_silent_server)
+START_TEST (test_client_closes_silent_link)
 {
   World *w = new_world (0);
   LcLinkClientDesc desc = { .loop = w->loop,
@@ -401,8 +402,8 @@
   lc_link_client_init (&w->client, &desc);
   w->has_client = true;
   run_until (w, &w->client_downs, 1);
-  run_until (w, &w->client_ups, 3); /* and tries on */
-  /* The server comes back to life: another one is there at last. */
+  run_until (w, &w->client_ups, 3); /* keeps reconnecting */
+  /* Then a live server takes its place. */
   lc_link_client_retarget (&w->client, HOST, lc_link_server_port (&w->server));
   run_until (w, &w->server_ups, 1);
   (void)close (fd);
@@ -410,7 +411,7 @@
 }
 END_TEST
 
-START_TEST (test_server_leaves_a_silent_client)
+START_TEST (test_server_closes_silent_link)
 {
   World *w = new_world (0);
   struct sockaddr_in address = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (HOST) };
@@ -432,8 +433,8 @@
 }
 END_TEST
 
-/* Links over which nobody has anything to say stay: pings are answered. */
-START_TEST (test_idle_link_stays)
+/* An idle link stays up, because pings are answered. */
+START_TEST (test_idle_link_stays_up)
 {
   World *w = new_world (0);
   LcLinkServerDesc server = { .loop = w->loop,
@@ -444,7 +445,7 @@
                               .ipv4 = HOST,
                               .keep_alive = { KEEP_ALIVE_MS, 100 * SILENT_MS },
                               .handler = { w, on_client_frame, on_client_up, on_client_down } };
-  uint64_t idle_bytes = 20 * 2 * LC_FRAME_HEADER_BYTES; /* of twenty pings and pongs */
+  uint64_t idle_bytes = 20 * 2 * LC_FRAME_HEADER_BYTES; /* twenty pings and pongs */
   LcError error = { 0 };
 
   lc_link_server_finish (&w->server);
@@ -458,7 +459,7 @@
     (void)h2o_evloop_run (w->loop, TURN_WAIT_MS);
   ck_assert_int_eq (w->client_downs, 0);
   ck_assert_int_eq (w->server_downs, 0);
-  ck_assert_uint_eq (w->bytes, 0); /* the owner sees none of it */
+  ck_assert_uint_eq (w->bytes, 0); /* the handler gets none of them */
   free_world (w);
 }
 END_TEST
@@ -472,15 +473,15 @@
   tcase_set_timeout (tcase, 60);
   tcase_add_test (tcase, test_order_and_sizes);
   tcase_add_loop_test (tcase, test_malformed, 0, G_N_ELEMENTS (MALFORMED));
-  tcase_add_test (tcase, test_truncated_then_gone);
+  tcase_add_test (tcase, test_truncated_then_closed);
   tcase_add_test (tcase, test_reconnect);
   tcase_add_test (tcase, test_backlog);
   tcase_add_test (tcase, test_max_links);
   tcase_add_test (tcase, test_client_finishes_in_down);
   tcase_add_test (tcase, test_client_reused_in_frame);
-  tcase_add_test (tcase, test_client_leaves_a_silent_server);
-  tcase_add_test (tcase, test_server_leaves_a_silent_client);
-  tcase_add_test (tcase, test_idle_link_stays);
+  tcase_add_test (tcase, test_client_closes_silent_link);
+  tcase_add_test (tcase, test_server_closes_silent_link);
+  tcase_add_test (tcase, test_idle_link_stays_up);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
--- a/tests/platform/test-observe.c
+++ b/tests/platform/test-observe.c
@@ -1,4 +1,4 @@
-/* Metrics text and log lines as a program would read them; the admin HTTP port's life. */
+/* Metrics text and JSON log lines as programs read them, and the admin HTTP port. */
 #include "io/lc-clock.h"
 #include "io/lc-flow-log.h"
 #include "io/lc-http.h"
@@ -45,7 +45,7 @@
 }
 END_TEST
 
-/* Observations and the bound of the first bucket that holds them, which Prometheus reads as <=. */
+/* Observations and the first bucket that holds them; Prometheus' bounds are inclusive. */
 static const struct
 {
   int64_t us;
@@ -81,7 +81,7 @@
                                      "caf\xc3\xa9",
                                      "\xff\xfe invalid UTF-8" };
 
-/* What `write` puts on standard output: one line of JSON. */
+/* The one line of JSON that `write_line` writes to standard output. */
 static json_t *
 line_of (void (*write_line) (const void *user), const void *user)
 {
@@ -109,13 +109,13 @@
            LC_I64 (-3), "d", LC_DBL (0.5));
 }
 
-/* === lines about flows ====================================================================== */
+/* === decision logs ========================================================================== */
 
 static const LcFlowKey FLOW = {
   .source_ipv4 = 0x7f000001, .source_port = 1034, .target_ipv4 = 0xc6120001, .target_port = 8443
 };
 
-/* Whatever program wrote it, the line names the flow, what decided and what came of it. */
+/* A line has the flow, the inputs and the outcome, whichever program wrote it. */
 static const struct
 {
   LcFlowLogLine line;
@@ -153,7 +153,7 @@
   lc_flow_log (&log, user, 1);
 }
 
-/* What `write` writes of `line` is `json`, besides what each line has. */
+/* Checks that `write` logs `line` as `json` plus the fields of every line. */
 static void
 check_line (void (*write) (const void *user), const void *line, const char *json)
 {
@@ -222,8 +222,8 @@
 }
 END_TEST
 
-/* A flood of one kind is cut off at its budget and said in the next line; another kind is not
- * displaced by it. */
+/* A flood of one kind is cut off at its budget, counted in the next line, and displaces no other
+ * kind. */
 enum
 {
   N_FLOOD = 1000,
@@ -284,7 +284,7 @@
   ck_assert_uint_eq (n_bad, FLOOD_SECONDS);
   ck_assert_uint_le (n_good + n_bad, FLOOD_SECONDS * LC_FLOW_LOG_PER_S);
   ck_assert_uint_ge (n_good, FLOOD_SECONDS);
-  /* What was left out in the last second is told by the next line, which never came. */
+  /* Lines suppressed in the last second would be counted by a next line, and there is none. */
   ck_assert_int_eq (n_left_out, (FLOOD_SECONDS - 1) * (N_FLOOD - n_good / FLOOD_SECONDS));
 }
 END_TEST
@@ -309,8 +309,7 @@
 }
 END_TEST
 
-/* A reader that is behind holds nobody up; once it reads again it learns how many lines it missed.
- */
+/* A slow reader of the log doesn't block the process, and is told how many lines were dropped. */
 START_TEST (test_log_never_blocks)
 {
   enum
@@ -449,7 +448,7 @@
     ck_assert_msg (strstr (answer, REQUESTS[_i].wants[i]) != NULL, "%s", answer);
   g_free (answer);
   lc_http_stop_accepting (&http);
-  lc_http_finish (&http); /* h2o ends the process here when something is left behind */
+  lc_http_finish (&http); /* h2o aborts here if something is left behind */
   lc_metrics_finish (&m);
 }
 END_TEST
--- a/tests/platform/test-settings.c
+++ b/tests/platform/test-settings.c
@@ -1,4 +1,4 @@
-/* Settings: every kind of error names the file, the JSON path, what is wrong and the remedy. */
+/* Settings: each kind of error has the file, the JSON path, what is wrong and the remedy. */
 #include "agent/lc-agent-settings.h"
 #include "balancer/lc-balancer-settings.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -64,7 +64,7 @@
   .program = "test", .fields = FIELDS, .n_fields = G_N_ELEMENTS (FIELDS), .size = sizeof (Mine)
 };
 
-/* `wants` are parts of the message, `remedy` a part of the remedy. */
+/* `wants` are parts of the message, `remedy` is a part of the remedy. */
 static const struct
 {
   const char *json;
@@ -177,8 +177,8 @@
 }
 END_TEST
 
-/* The programs' own tables: a default must be inside its own range, every field has a help text
- * and a path of its own, and a choice has its list. */
+/* The programs' tables: defaults are in range, each field has a help text and a unique path, and a
+ * choice has its list. */
 static const LcSettingsSchema *const SCHEMAS[] = { &LC_AGENT_SCHEMA, &LC_BALANCER_SCHEMA };
 
 START_TEST (test_schema)
--- a/tests/platform/test-timer.c
+++ b/tests/platform/test-timer.c
@@ -1,4 +1,4 @@
-/* Timers on a real loop: order, moving, and callbacks that change timers. */
+/* Timers on an h2o loop: order, restarting, and callbacks that change timers. */
 #include "io/lc-clock.h"
 #include "io/lc-timer.h"
 #include "tests/fakes/lc-fake-run.h"
@@ -11,7 +11,7 @@
 {
   MAX_TIMERS = 500,
   TURN_WAIT_MS = 20,
-  LIVENESS_US = 20000000, /* generous: only a hung timer reaches it */
+  LIVENESS_US = 20000000, /* only a timer that never fires reaches it */
 };
 
 typedef struct World World;
@@ -85,7 +85,7 @@
   g_free (w);
 }
 
-/* Each row starts timers with these durations (0 ends the row) and names the order of firing. */
+/* Durations of `n` timers and the order in which they fire. */
 static const struct
 {
   uint32_t start_ms[5];
@@ -125,7 +125,7 @@
 }
 END_TEST
 
-/* h2o's own timeouts crash on this: the loop walks the list that the callback unlinks from. */
+/* h2o's own timeouts crash here: the loop iterates over the list that the callback changes. */
 START_TEST (test_finish_in_callback)
 {
   World *w = new_world (3);
@@ -166,7 +166,7 @@
 }
 END_TEST
 
-START_TEST (test_zero_does_not_hold_the_loop)
+START_TEST (test_zero_does_not_starve_the_loop)
 {
   World *w = new_world (1);
 
@@ -180,7 +180,7 @@
 }
 END_TEST
 
-/* Many starts, moves and stops against the deadlines themselves. */
+/* After many random starts, moves and stops, timers fire in order of their deadlines. */
 START_TEST (test_many)
 {
   World *w = new_world (MAX_TIMERS);
@@ -219,7 +219,7 @@
   tcase_add_test (tcase, test_finish_in_callback);
   tcase_add_test (tcase, test_last_timer_finishes_itself);
   tcase_add_test (tcase, test_restart_with_another_duration);
-  tcase_add_test (tcase, test_zero_does_not_hold_the_loop);
+  tcase_add_test (tcase, test_zero_does_not_starve_the_loop);
   tcase_add_test (tcase, test_many);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
--- a/tests/platform/test_programs.py
+++ b/tests/platform/test_programs.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Command lines of every program: exit codes, what is printed where, and a stop by SIGTERM.
+"""Command line of every program: exit codes, output, settings, reload and a stop by SIGTERM.
 
 Usage: test_programs.py BUILD_DIR
 """
@@ -26,7 +26,7 @@
 
 
 def free_address():
-    """An address of 127.0.0.0/8 on which nothing listens at our ports."""
+    """An address of 127.0.0.0/8 on which the daemons' ports are free."""
     while True:
         address = f"127.{random.randint(40, 250)}.{random.randint(0, 255)}.{random.randint(1, 254)}"
         try:
@@ -57,7 +57,7 @@
 
 
 class CommandLine(unittest.TestCase):
-    # arguments, exit code, a word of standard output, a word of standard error
+    # arguments, exit code, part of standard output, part of standard error
     CASES = [
         (["--help"], 0, "Usage: ", ""),
         (["--version"], 0, "0.1.0", ""),
@@ -92,7 +92,7 @@
 
 
 class Settings(unittest.TestCase):
-    # what is done to right settings, and the JSON path that the message must name
+    # change to valid settings, and the JSON path that the error must contain
     CASES = [
         (lambda s: s.update(colour="red"), "$.colour"),
         (lambda s: s.update(name=7), "$.name"),
@@ -108,13 +108,13 @@
             out.write(value if isinstance(value, str) else json.dumps(value))
         return path
 
-    def test_right_settings_pass_the_check(self):
+    def test_valid_settings_pass_the_check(self):
         for name in DAEMONS:
             with self.subTest(program=name), tempfile.TemporaryDirectory() as folder:
                 result = run(name, "--settings", self.write(folder, settings(name, folder)), "--check")
                 self.assertEqual((result.returncode, result.stderr), (0, ""))
 
-    def test_wrong_settings_start_nothing(self):
+    def test_invalid_settings_start_nothing(self):
         for name in DAEMONS:
             for change, path in self.CASES:
                 with self.subTest(program=name, path=path), tempfile.TemporaryDirectory() as folder:
@@ -164,7 +164,7 @@
                 return event
         return None
 
-    def test_reload_is_whole_or_refused(self):
+    def test_reload_is_applied_whole_or_refused(self):
         for name in DAEMONS:
             with self.subTest(program=name), tempfile.TemporaryDirectory() as folder:
                 file = os.path.join(folder, "settings.json")
@@ -177,15 +177,15 @@
 
                 write(json.dumps(good))
                 with subprocess.Popen([PROGRAMS[name], "--settings", file], stdout=subprocess.PIPE, text=True) as p:
-                    told = ("app.reloaded", "app.reload-refused")
+                    results = ("app.reloaded", "app.reload-refused")
                     self.wait_for(p, "app.started")
                     p.send_signal(signal.SIGHUP)
-                    self.assertEqual(self.wait_for(p, *told), "app.reloaded")
+                    self.assertEqual(self.wait_for(p, *results), "app.reloaded")
                     write('{"name": 5}')
                     p.send_signal(signal.SIGHUP)
-                    self.assertEqual(self.wait_for(p, *told), "app.reload-refused")
-                    write(json.dumps(good | {"drain_limit_ms": 3000}))  # and no signal
-                    self.assertEqual(self.wait_for(p, *told), "app.reloaded")
+                    self.assertEqual(self.wait_for(p, *results), "app.reload-refused")
+                    write(json.dumps(good | {"drain_limit_ms": 3000}))  # found without a signal
+                    self.assertEqual(self.wait_for(p, *results), "app.reloaded")
                     p.send_signal(signal.SIGTERM)
                     p.communicate(timeout=LIVENESS_S)
                 self.assertEqual(p.returncode, 0)
