--- a/src/io/lc-app.h
+++ b/src/io/lc-app.h
@@ -1,4 +1,4 @@
-/* lc-app: the frame of a daemon: options, settings, event loop, reload and shutdown.
+/* lc-app: the common runtime of the daemons: options, settings, event loop, reload and shutdown.
  *
  * WHAT IT IS
  *   Command line (--settings FILE, --check, --print-settings, --log-level, --help, --version),
@@ -16,7 +16,7 @@
  *     lc_app_finish (&app);
  *
  * RELOAD
- *   On SIGHUP, and when the file's content has changed (checked every LC_APP_LOOK_MS), the settings
+ *   On SIGHUP, and when the periodic check of LC_APP_LOOK_MS finds the file changed, the settings
  *   are read and validated as a whole.  Invalid settings are logged and change nothing; valid ones
  *   are logged and passed to desc.reload, which logs what it applies.
  *
