--- a/src/io/lc-app.c
+++ b/src/io/lc-app.c
@@ -12,7 +12,7 @@
 {
   LC_APP_LOOP_WAIT_MS = 50, /* bounds the delay until a signal or idleness is noticed */
   LC_APP_MAX_ERRORS = 20,
-  LC_APP_LOOK_MS = 2000, /* period of checking the settings file for changes */
+  LC_APP_LOOK_MS = 2000, /* between checks of the settings file: changes apply within seconds */
 };
 
 /* Counts of signals; a signal handler can only reach globals. */
--- a/src/io/lc-app.h
+++ b/src/io/lc-app.h
@@ -16,9 +16,9 @@
  *     lc_app_finish (&app);
  *
  * RELOAD
- *   On SIGHUP, and when the periodic check of LC_APP_LOOK_MS finds the file changed, the settings
- *   are read and validated as a whole.  Invalid settings are logged and change nothing; valid ones
- *   are logged and passed to desc.reload, which logs what it applies.
+ *   On SIGHUP, and when the check every LC_APP_LOOK_MS finds the file changed, the
+ *   settings are read and validated as a whole.  Invalid settings are logged and change nothing;
+ *   valid ones are logged and passed to desc.reload, which logs what it applies.
  *
  * SHUTDOWN
  *   The first signal calls `on_drain (user)`; the loop runs on until `is_idle (user)` or until
--- a/tests/adapter/test-report.c
+++ b/tests/adapter/test-report.c
@@ -238,7 +238,7 @@
 }
 END_TEST
 
-START_TEST (test_silence)
+START_TEST (test_silence_limit)
 {
   static const struct
   {
@@ -296,7 +296,7 @@
 END_TEST
 
 /* Cold for as long as the newest report states; without a report it is assumed cold. */
-START_TEST (test_cold)
+START_TEST (test_cold_period)
 {
   static const struct
   {
@@ -499,9 +499,9 @@
   tcase_add_loop_test (tcase, test_read, 0, (int)(sizeof READ / sizeof READ[0]));
   tcase_add_loop_test (tcase, test_sequences, 0, (int)(sizeof SEQUENCES / sizeof SEQUENCES[0]));
   tcase_add_loop_test (tcase, test_new_backend, 0, (int)(sizeof STARTS / sizeof STARTS[0]));
-  tcase_add_test (tcase, test_silence);
+  tcase_add_test (tcase, test_silence_limit);
   tcase_add_test (tcase, test_before_first_report);
-  tcase_add_test (tcase, test_cold);
+  tcase_add_test (tcase, test_cold_period);
   tcase_add_test (tcase, test_report_of_an_earlier_start);
   tcase_add_test (tcase, test_earlier_start_after_a_restart);
   tcase_add_test (tcase, test_new_id_after_a_clock_step);
--- a/tests/platform/test-clock-step.c
+++ b/tests/platform/test-clock-step.c
@@ -41,7 +41,7 @@
   *(int64_t *)user = lc_clock_now_us ();
 }
 
-START_TEST (test_step)
+START_TEST (test_wall_clock_step)
 {
   h2o_loop_t *loop = h2o_evloop_create ();
   int64_t fired_us = 0;
@@ -71,7 +71,7 @@
   TCase *tcase = tcase_create ("loop");
 
   tcase_set_timeout (tcase, 60);
-  tcase_add_loop_test (tcase, test_step, 0, sizeof STEPS_US / sizeof STEPS_US[0]);
+  tcase_add_loop_test (tcase, test_wall_clock_step, 0, sizeof STEPS_US / sizeof STEPS_US[0]);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
--- a/tests/platform/test-link.c
+++ b/tests/platform/test-link.c
@@ -211,7 +211,7 @@
   return fd;
 }
 
-START_TEST (test_malformed)
+START_TEST (test_malformed_closes_its_link)
 {
   World *w = new_world (0);
   int fd;
@@ -264,7 +264,7 @@
 END_TEST
 
 /* While the peer doesn't read, sends are refused at the bound instead of growing the backlog. */
-START_TEST (test_backlog)
+START_TEST (test_backlog_limit)
 {
   World *w = new_world (0);
   uint8_t bytes[10000] = { 0 };
@@ -472,10 +472,10 @@
 
   tcase_set_timeout (tcase, 60);
   tcase_add_test (tcase, test_order_and_sizes);
-  tcase_add_loop_test (tcase, test_malformed, 0, G_N_ELEMENTS (MALFORMED));
+  tcase_add_loop_test (tcase, test_malformed_closes_its_link, 0, G_N_ELEMENTS (MALFORMED));
   tcase_add_test (tcase, test_truncated_then_closed);
   tcase_add_test (tcase, test_reconnect);
-  tcase_add_test (tcase, test_backlog);
+  tcase_add_test (tcase, test_backlog_limit);
   tcase_add_test (tcase, test_max_links);
   tcase_add_test (tcase, test_client_finishes_in_down);
   tcase_add_test (tcase, test_client_reused_in_frame);
--- a/tests/platform/test-observe.c
+++ b/tests/platform/test-observe.c
@@ -248,7 +248,7 @@
       }
 }
 
-START_TEST (test_flow_flood)
+START_TEST (test_flow_flood_is_cut_off)
 {
   char path[] = "/tmp/lychee-test-flood.XXXXXX";
   int fd = mkstemp (path);
@@ -464,7 +464,7 @@
   tcase_add_loop_test (tcase, test_histogram, 0, G_N_ELEMENTS (BUCKETS));
   tcase_add_loop_test (tcase, test_flow_lines, 0, (int)G_N_ELEMENTS (FLOW_LINES));
   tcase_add_loop_test (tcase, test_request_lines, 0, (int)G_N_ELEMENTS (REQUEST_LINES));
-  tcase_add_test (tcase, test_flow_flood);
+  tcase_add_test (tcase, test_flow_flood_is_cut_off);
   tcase_add_loop_test (tcase, test_log_line, 0, G_N_ELEMENTS (TEXTS));
   tcase_add_test (tcase, test_log_never_blocks);
   tcase_add_test (tcase, test_log_limit);
--- a/tests/platform/test-timer.c
+++ b/tests/platform/test-timer.c
@@ -181,7 +181,7 @@
 END_TEST
 
 /* After many random starts, moves and stops, timers fire in order of their deadlines. */
-START_TEST (test_many)
+START_TEST (test_random_starts_and_stops)
 {
   World *w = new_world (MAX_TIMERS);
   GRand *random = g_rand_new_with_seed (20261202);
@@ -220,7 +220,7 @@
   tcase_add_test (tcase, test_last_timer_finishes_itself);
   tcase_add_test (tcase, test_restart_with_another_duration);
   tcase_add_test (tcase, test_zero_does_not_starve_the_loop);
-  tcase_add_test (tcase, test_many);
+  tcase_add_test (tcase, test_random_starts_and_stops);
   suite_add_tcase (suite, tcase);
   return lc_fake_run (suite);
 }
