--- a/src/agent/lc-agent-flow.c
+++ b/src/agent/lc-agent-flow.c
@@ -474,7 +474,7 @@
 
   memset (plane, 0, sizeof *plane);
   plane->desc = *desc;
-  plane->log.is_shared = desc->settings->has_requests;
+  plane->log.has_request_log = desc->settings->has_requests;
   plane->backend =
       desc->settings->report_port == 0 ? LC_FLOW_BACKEND_OPEN : LC_FLOW_BACKEND_UNAVAILABLE;
   r = lc_agent_flow__open (plane, error);
--- a/src/balancer/lc-balancer-flow.c
+++ b/src/balancer/lc-balancer-flow.c
@@ -269,7 +269,7 @@
 
   memset (plane, 0, sizeof *plane);
   plane->desc = *desc;
-  plane->log.is_shared = desc->settings->http_port != 0;
+  plane->log.has_request_log = desc->settings->http_port != 0;
   lc_flow_balancer_init (&plane->balancer, 0);
   lc_probe_detector_init (&plane->reach);
   lc_flow_balancer_set_returning (&plane->balancer,
--- a/src/io/lc-flow-log.c
+++ b/src/io/lc-flow-log.c
@@ -51,7 +51,7 @@
   uint32_t n = 0;
 
   if (!lc_log_enabled (rule->level) ||
-      !lc_log_allow (limit, now_us, log->is_shared ? rule->per_s / 2 : rule->per_s))
+      !lc_log_allow (limit, now_us, log->has_request_log ? rule->per_s / 2 : rule->per_s))
     return;
   lc_flow_id_format (line->key, id);
   fields[n++] = (LcLogField){ "flow", LC_STR (id) };
--- a/src/io/lc-flow-log.h
+++ b/src/io/lc-flow-log.h
@@ -50,7 +50,7 @@
 {
   LcLogLimit limits[LC_N_FLOW_LOG_KINDS];
   uint64_t reported[LC_N_FLOW_LOG_KINDS]; /* suppressed lines already counted in "left_out" */
-  bool is_shared;                         /* with a request log: half of each budget */
+  bool has_request_log;                   /* of the same process: halves each budget */
 } LcFlowLog;
 
 /* A decision: inputs and outcome. */
