--- a/src/control/lc-replica-form.c
+++ b/src/control/lc-replica-form.c
@@ -11,7 +11,7 @@
 
 enum
 {
-  LC_REPLICA_HEARD_US = 2000000, /* an answer older than this doesn't count for forming */
+  LC_REPLICA_HEARD_US = 2000000, /* older hello replies don't count for forming */
 };
 
 /* === forming ================================================================================ */
@@ -29,7 +29,7 @@
     }
   replica->cluster = cluster;
   if (initial != NULL)
-    replica->found.initial = *initial;
+    replica->recovered.initial = *initial;
   LC_INFO ("control.joined", "cluster", LC_U64 (cluster), "replica", LC_U64 (replica->id),
            "members", LC_U64 (initial != NULL ? initial->n_members : 0));
   lc_replica__start_raft (replica);
@@ -47,8 +47,8 @@
   (void)lc_raft_config_put (config, &member);
 }
 
-/* Every VM of the settings must have answered lately, and none may belong to a cluster: all of
- * them then write the same list, of those that have a disk.  False when one is missing. */
+/* The first members: the VMs of `members` that have a disk.  False unless each VM replied lately
+ * that it is in no cluster; then all of them arrive at the same list. */
 static bool
 lc_replica__gather_founders (LcReplica *replica, LcRaftConfig *config)
 {
@@ -67,7 +67,7 @@
           continue;
         }
       peer = lc_replica__peer (replica, s->members[i].ipv4, s->members[i].port);
-      if (peer == NULL || peer->heard_us == 0 || peer->cluster != 0 || peer->heard_us < oldest_us)
+      if (peer == NULL || peer->received_us == 0 || peer->cluster != 0 || peer->received_us < oldest_us)
         return false;
       if (peer->has_no_disk)
         n_without_disk++;
@@ -78,7 +78,7 @@
          lc_raft_config_find (config, replica->id) != NULL;
 }
 
-/* A peer of the settings that belongs to a cluster, or NULL. */
+/* A peer in a cluster, best one whose first members include this replica; or NULL. */
 static const LcReplicaPeer *
 lc_replica__formed_peer (LcReplica *replica)
 {
@@ -138,8 +138,9 @@
   lc_replica__greet_all (replica);
 }
 
-/* A message to this VM's random id proves that the sender's cluster has added it, since only those
- * it told know the id.  A founder waits for the founders' list instead, which is not in the log. */
+/* A log message to this replica's random id proves that the sender's cluster added it: only VMs
+ * that received its hello replies hold the id.  A first member also needs the list of first
+ * members, which is not in the log. */
 bool
 lc_replica__may_join (LcReplica *replica, const LcRaftMessage *message, uint64_t cluster)
 {
@@ -176,18 +177,18 @@
 lc_replica__see (LcReplica *replica, const LcReplicaPeer *peer, LcHealReplica *seen)
 {
   const LcRaftProgress *progress = lc_raft_progress (&replica->raft, peer->id);
-  int64_t heard_us = lc_replica__now_us () - peer->heard_us;
+  int64_t silent_us = lc_replica__now_us () - peer->received_us;
 
   memset (seen, 0, sizeof *seen);
   seen->id = peer->id;
   seen->ipv4 = peer->ipv4;
   seen->port = peer->port;
   seen->is_blank = peer->cluster == 0;
-  seen->silent_us = heard_us;
+  seen->silent_us = silent_us;
   if (progress != NULL)
     {
       seen->has_caught_up = lc_raft_has_caught_up (&replica->raft, peer->id);
-      seen->silent_us = MIN (heard_us, replica->raft.clock_us - progress->reply_clock_us);
+      seen->silent_us = MIN (silent_us, replica->raft.clock_us - progress->reply_clock_us);
     }
   (void)g_strlcpy (seen->name, peer->name, sizeof seen->name);
 }
@@ -213,15 +214,15 @@
 
 /* === replacing a member ===================================================================== */
 
-/* A member of the old name that is not the newcomer. */
+/* The member to remove: it has the old name and is not the replacement. */
 static const LcRaftMember *
-lc_replica__outgoing (const LcReplica *replica, LcReplicaId newcomer)
+lc_replica__outgoing (const LcReplica *replica, LcReplicaId replacement)
 {
   for (uint32_t i = 0; i < replica->raft.config.n_members; i++)
     {
       const LcRaftMember *member = &replica->raft.config.members[i];
 
-      if (member->id != newcomer && strcmp (member->name, replica->state.replace.old_name) == 0)
+      if (member->id != replacement && strcmp (member->name, replica->state.replace.old_name) == 0)
         return member;
     }
   return NULL;
@@ -239,8 +240,8 @@
   (void)lc_replica_propose (replica, &command, &error);
 }
 
-/* One step at a time, each from what the log says now, so that a new leader goes on where the old
- * one stopped. */
+/* One change at a time, each derived from the configuration in the log, so that a new leader
+ * continues where the old one stopped. */
 void
 lc_replica__replace_step (LcReplica *replica)
 {
--- a/src/control/lc-replica-peers.c
+++ b/src/control/lc-replica-peers.c
@@ -8,8 +8,8 @@
 enum
 {
   LC_REPLICA_BACKOFF_MAX_MS = 200,
-  LC_REPLICA_SURE_US = 500000,     /* a member heard within this needs no greeting */
-  LC_REPLICA_FORGET_US = 30000000, /* a VM that is no member and silent this long is forgotten */
+  LC_REPLICA_SURE_US = 500000,     /* after contact within this no hello is needed */
+  LC_REPLICA_FORGET_US = 30000000, /* silence after which the link to a non-member is closed */
 };
 
 /* === peers ================================================================================== */
@@ -112,7 +112,7 @@
   if (peer == NULL)
     return;
   peer->id = from;
-  peer->heard_us = lc_replica__now_us ();
+  peer->received_us = lc_replica__now_us ();
 }
 
 void
@@ -147,7 +147,7 @@
   if (replace->is_active && replace->replacement.ipv4 == peer->ipv4 &&
       replace->replacement.peer_port == peer->port)
     return true;
-  return lc_replica__now_us () - peer->heard_us < LC_REPLICA_FORGET_US;
+  return lc_replica__now_us () - peer->received_us < LC_REPLICA_FORGET_US;
 }
 
 void
@@ -172,8 +172,8 @@
 
 /* === hello ================================================================================== */
 
-/* Somebody who greets is there: a link to it that waits for its next attempt is tried now.  One's
- * own link is the only way to answer it, and after a start of all each wait costs recovery time. */
+/* A VM that sent a hello is up: connects to it now if the link waits for its next attempt.  Log
+ * messages go over this VM's own link only, so after a start of all VMs waiting delays recovery. */
 static void
 lc_replica__reach_back (LcReplica *replica, uint32_t ipv4, uint16_t port)
 {
@@ -183,8 +183,8 @@
     lc_link_client_retarget (&peer->client, ipv4, port);
 }
 
-/* A blank replica that greets is greeted back, so that it is known where it stands by.  One that
- * stands by itself greets everybody back: it learns the members so. */
+/* Connects back to a blank replica, to record it as a standby.  A replica in no cluster connects
+ * back to every sender: their replies list the members. */
 void
 lc_replica__on_hello (LcReplica *replica, LcLink *link, const LcFrame *frame)
 {
@@ -209,7 +209,7 @@
 lc_replica__answer_hello (LcReplica *replica, LcLink *link)
 {
   Lc__Wire__ControlHelloReply reply = LC__WIRE__CONTROL_HELLO_REPLY__INIT;
-  GBytes *initial = lc_raft_config_encode (&replica->found.initial);
+  GBytes *initial = lc_raft_config_encode (&replica->recovered.initial);
   LcRaftConfig config;
   uint64_t members_index = lc_replica__members (replica, &config);
   GBytes *members = members_index > 0 ? lc_raft_config_encode (&config) : NULL;
@@ -221,7 +221,7 @@
   reply.initial.data = (uint8_t *)g_bytes_get_data (initial, &len);
   reply.initial.len = len;
   reply.members_index = members_index;
-  reply.leader = replica->is_formed ? replica->raft.leader : replica->learned.leader;
+  reply.leader = replica->is_formed ? replica->raft.leader : replica->reported.leader;
   reply.has_no_disk = !lc_replica__has_disk (replica);
   if (members != NULL)
     {
@@ -234,7 +234,7 @@
     g_bytes_unref (members);
 }
 
-/* A blank replica at a member's address: that member's folder is gone, and it with it. */
+/* A blank replica at a member's address: that member has lost its data folder. */
 static void
 lc_replica__note_successor (LcReplica *replica, const LcReplicaPeer *peer)
 {
@@ -252,13 +252,13 @@
   LcReplicaPeer *peer = lc_link_peer (link);
   Lc__Wire__ControlHelloReply *m =
       lc__wire__control_hello_reply__unpack (NULL, frame->payload_len, frame->payload);
-  LcReplicaLearned learned = { 0 };
+  LcReplicaLearned reported = { 0 };
   LcRaftConfig initial;
 
   if (m == NULL || peer == NULL || strlen (m->name) >= LC_NAME_MAX ||
       lc_raft_config_decode (&initial, m->initial.data, m->initial.len) < 0 ||
       (m->members.len > 0 &&
-       lc_raft_config_decode (&learned.members, m->members.data, m->members.len) < 0))
+       lc_raft_config_decode (&reported.members, m->members.data, m->members.len) < 0))
     lc_metric_add (replica->metrics.malformed_total, 1);
   else
     {
@@ -266,18 +266,18 @@
       peer->cluster = m->cluster;
       peer->has_no_disk = m->has_no_disk;
       peer->initial = initial;
-      peer->heard_us = lc_replica__now_us ();
+      peer->received_us = lc_replica__now_us ();
       (void)g_strlcpy (peer->name, m->name, sizeof peer->name);
       lc_replica__note_successor (replica, peer);
-      learned.members_index = m->members.len > 0 ? m->members_index : 0;
-      learned.leader = m->leader;
-      lc_replica__learn (replica, peer, &learned);
+      reported.members_index = m->members.len > 0 ? m->members_index : 0;
+      reported.leader = m->leader;
+      lc_replica__learn (replica, peer, &reported);
     }
   if (m != NULL)
     lc__wire__control_hello_reply__free_unpacked (m, NULL);
 }
 
-/* === greetings =============================================================================== */
+/* === when to send ============================================================================= */
 
 bool
 lc_replica__is_self (const LcReplica *replica, const LcSocketAddress *address)
@@ -286,7 +286,6 @@
          address->port == replica->desc.settings->peer_port;
 }
 
-/* Makes links to the VMs of the settings. */
 static void
 lc_replica__link_seeds (LcReplica *replica)
 {
@@ -295,7 +294,7 @@
       (void)lc_replica__peer (replica, replica->seeds[i].ipv4, replica->seeds[i].port);
 }
 
-/* VMs of the settings may stand by, and know nobody else: a member tells them where it is. */
+/* Seeds may be standbys that have no other peer: a hello makes them connect to this member. */
 void
 lc_replica__greet_strangers (LcReplica *replica)
 {
@@ -307,13 +306,12 @@
       LcReplicaPeer *peer = replica->peers[i];
 
       if (lc_replica__is_setting (replica, peer) &&
-          (peer->heard_us == 0 || now_us - peer->heard_us >= LC_REPLICA_SURE_US))
+          (peer->received_us == 0 || now_us - peer->received_us >= LC_REPLICA_SURE_US))
         lc_replica__say_hello (peer, lc_link_client_link (&peer->client));
     }
 }
 
-/* Everybody known is asked again and again: one that answered right after its start may not know
- * yet which members are committed. */
+/* Repeated to every peer: a reply sent right after a start may lack the committed members. */
 void
 lc_replica__greet_all (LcReplica *replica)
 {
@@ -330,7 +328,7 @@
   memcpy (replica->seeds, seeds, replica->n_seeds * sizeof *seeds);
 }
 
-/* Greets whoever is not known well enough: members that don't answer, and those that stand by. */
+/* To members that don't reply to log messages, and to standbys. */
 void
 lc_replica__greet_unsure (LcReplica *replica, LcReplicaPeer *peer)
 {
--- a/src/control/lc-replica-standby.c
+++ b/src/control/lc-replica-standby.c
@@ -4,10 +4,10 @@
 
 #include <string.h>
 
-/* An answer older than this says little of who can be reached: five greetings. */
+/* Peers without a reply for five hello intervals are taken as unreachable. */
 #define LC_REPLICA_ROUTE_US (1 * LC_US_PER_S)
 
-/* === private: who there is ================================================================== */
+/* === private: peers ========================================================================= */
 
 static LcReplicaPeer *
 lc_replica__find_peer (const LcReplica *replica, uint32_t ipv4, uint16_t port)
@@ -18,7 +18,7 @@
   return NULL;
 }
 
-/* === shared: learning ======================================================================= */
+/* === shared: members ======================================================================== */
 
 bool
 lc_replica__has_disk (const LcReplica *replica)
@@ -33,8 +33,8 @@
 
   if (!replica->is_formed)
     {
-      *members = replica->learned.members;
-      return replica->learned.members_index;
+      *members = replica->reported.members;
+      return replica->reported.members_index;
     }
   *members = raft->config;
   return raft->config_index <= raft->commit_index ? lc_raft_config_as_of (raft) + 1 : 0;
@@ -43,47 +43,47 @@
 static bool
 lc_replica__is_left_out (const LcReplica *replica,
                          const LcReplicaPeer *peer,
-                         const LcReplicaLearned *learned)
+                         const LcReplicaLearned *reported)
 {
   const LcRaft *raft = &replica->raft;
-  int64_t heard_us = lc_raft_leader_silence_us (raft);
+  int64_t silence_us = lc_raft_leader_silence_us (raft);
   LcHealSelf self = { .id = replica->id,
                       .members = &raft->config,
                       .members_index = lc_raft_config_as_of (raft),
                       .silent_us =
-                          heard_us >= 0 ? heard_us : lc_replica__now_us () - replica->formed_us };
+                          silence_us >= 0 ? silence_us : lc_replica__now_us () - replica->formed_us };
 
-  return replica->is_formed && peer->cluster == replica->cluster && learned->members_index > 0 &&
-         lc_heal_is_removed (&self, &learned->members, learned->members_index - 1);
+  return replica->is_formed && peer->cluster == replica->cluster && reported->members_index > 0 &&
+         lc_heal_is_removed (&self, &reported->members, reported->members_index - 1);
 }
 
 void
-lc_replica__learn (LcReplica *replica, const LcReplicaPeer *peer, const LcReplicaLearned *learned)
+lc_replica__learn (LcReplica *replica, const LcReplicaPeer *peer, const LcReplicaLearned *reported)
 {
-  bool is_other;
+  bool has_changed;
 
-  if (lc_replica__is_left_out (replica, peer, learned))
+  if (lc_replica__is_left_out (replica, peer, reported))
     replica->is_removed = true;
-  if (replica->is_formed || learned->members_index == 0 ||
-      learned->members_index < replica->learned.members_index)
+  if (replica->is_formed || reported->members_index == 0 ||
+      reported->members_index < replica->reported.members_index)
     return;
-  is_other = learned->members_index != replica->learned.members_index;
-  replica->learned = *learned;
-  lc_replica__link_learned (replica); /* each is greeted when its link is up */
-  if (is_other)
-    replica->desc.learned (replica->desc.user);
+  has_changed = reported->members_index != replica->reported.members_index;
+  replica->reported = *reported;
+  lc_replica__link_learned (replica); /* a hello is sent when a link is up */
+  if (has_changed)
+    replica->desc.members_changed (replica->desc.user);
 }
 
 bool
 lc_replica__is_learned (const LcReplica *replica, const LcReplicaPeer *peer)
 {
-  return lc_raft_config_find_address (&replica->learned.members, peer->ipv4, peer->port) != NULL;
+  return lc_raft_config_find_address (&replica->reported.members, peer->ipv4, peer->port) != NULL;
 }
 
 void
 lc_replica__link_learned (LcReplica *replica)
 {
-  const LcRaftConfig *members = &replica->learned.members;
+  const LcRaftConfig *members = &replica->reported.members;
 
   for (uint32_t i = 0; i < members->n_members; i++)
     (void)lc_replica__peer (replica, members->members[i].ipv4, members->members[i].peer_port);
@@ -110,27 +110,27 @@
 lc_replica__end_membership (LcReplica *replica)
 {
   LC_WARN ("control.removed", "replica", LC_U64 (replica->id), "meaning",
-           LC_STR ("the cluster went on without this VM: it empties its data folder and stands by "
+           LC_STR ("the cluster has removed this VM: it empties its data folder and becomes a standby "
                    "under a new id"));
   lc_store_task_finish (&replica->task);
   lc_raft_finish (&replica->raft);
   memset (&replica->raft, 0, sizeof replica->raft);
   replica->is_formed = false;
-  replica->noted_leader = 0;
+  replica->logged_leader = 0;
   replica->proposed_index = 0;
   replica->log_bytes = 0;
   replica->snapshot_index = 0;
   replica->is_snapshotting = false;
   replica->has_disk_full = false;
-  memset (&replica->learned, 0, sizeof replica->learned);
+  memset (&replica->reported, 0, sizeof replica->reported);
   lc_control_state_finish (&replica->state);
   lc_control_state_init (&replica->state);
   g_array_set_size (replica->ops, 0);
   replica->desc.applied (replica->desc.user, NULL, 0, true);
 }
 
-/* A disk that takes nothing now is tried again at the next tick; until then this VM still says that
- * it belongs to the cluster, so that nobody takes it in. */
+/* If the disk fails, the next tick tries again; until then hello replies still carry the cluster,
+ * so that this VM isn't added as a blank one. */
 void
 lc_replica__start_over (LcReplica *replica)
 {
@@ -145,7 +145,7 @@
   lc_store_init (&replica->store, &desc);
   r = lc_store_discard (&replica->store, &error);
   lc_store_finish (&replica->store);
-  lc_store_recovered_finish (&replica->found);
+  lc_store_recovered_finish (&replica->recovered);
   if (r == 0)
     r = lc_replica__open_store (replica, &error);
   else
@@ -166,14 +166,14 @@
 bool
 lc_replica_stands_by (const LcReplica *replica)
 {
-  return !replica->is_formed && replica->learned.members.n_members > 0;
+  return !replica->is_formed && replica->reported.members.n_members > 0;
 }
 
 const LcReplicaPeer *
 lc_replica_route (const LcReplica *replica)
 {
   int64_t oldest_us = lc_replica__now_us () - LC_REPLICA_ROUTE_US;
-  const LcRaftConfig *members = &replica->learned.members;
+  const LcRaftConfig *members = &replica->reported.members;
   const LcReplicaPeer *found = NULL;
 
   for (uint32_t i = 0; i < members->n_members; i++)
@@ -181,9 +181,9 @@
       const LcReplicaPeer *peer =
           lc_replica__find_peer (replica, members->members[i].ipv4, members->members[i].peer_port);
 
-      if (peer == NULL || peer->heard_us < oldest_us || peer->cluster == 0)
+      if (peer == NULL || peer->received_us < oldest_us || peer->cluster == 0)
         continue;
-      if (found == NULL || peer->id == replica->learned.leader)
+      if (found == NULL || peer->id == replica->reported.leader)
         found = peer;
     }
   return found;
@@ -193,7 +193,7 @@
 lc_replica_addresses (const LcReplica *replica, LcSocketAddress *out, uint32_t max)
 {
   const LcRaftConfig *members =
-      replica->is_formed ? &replica->raft.config : &replica->learned.members;
+      replica->is_formed ? &replica->raft.config : &replica->reported.members;
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < members->n_members && n < max; i++)
--- a/src/control/lc-replica.c
+++ b/src/control/lc-replica.c
@@ -12,7 +12,7 @@
 enum
 {
   LC_REPLICA_TICK_MS = 10,
-  LC_REPLICA_NO_DISK_TICK_MS = 100, /* without a disk there are no elections to be in time for */
+  LC_REPLICA_NO_DISK_TICK_MS = 100, /* without a disk it takes part in no elections */
   LC_REPLICA_SLOW_TICK_US = 200000,
   LC_REPLICA_LOGS_PER_S = 2,
 };
@@ -40,7 +40,7 @@
 
   if (member != NULL)
     peer = lc_replica__peer (replica, member->ipv4, member->peer_port);
-  /* A candidate or leader that this VM's own list does not name yet is still answered. */
+  /* A candidate or leader that is not in this VM's configuration yet gets replies too. */
   for (uint32_t i = 0; peer == NULL && i < LC_REPLICA_PEERS_MAX; i++)
     if (replica->peers[i] != NULL && replica->peers[i]->id == message->to)
       peer = replica->peers[i];
@@ -86,7 +86,7 @@
   data = g_bytes_get_data (entry->data, &len);
   if (lc_control_command_unpack (&command, data, len, NULL) < 0)
     {
-      /* Every replica skips it alike. */
+      /* Skipped by every replica, so that their states stay the same. */
       lc_metric_add (replica->metrics.malformed_total, 1);
       return;
     }
@@ -143,23 +143,23 @@
   lc_store_task_snapshot (&replica->task, &snapshot);
 }
 
-/* One line for each leader that this VM knows of, also for none. */
+/* Logs each change of leader or term, also when there is no leader. */
 static void
 lc_replica__note_leader (LcReplica *replica)
 {
   const LcRaft *raft = &replica->raft;
   const LcRaftMember *leader = lc_raft_config_find (&raft->config, raft->leader);
 
-  if (raft->leader == replica->noted_leader && raft->term == replica->noted_term)
+  if (raft->leader == replica->logged_leader && raft->term == replica->logged_term)
     return;
-  replica->noted_leader = raft->leader;
-  replica->noted_term = raft->term;
+  replica->logged_leader = raft->leader;
+  replica->logged_term = raft->term;
   LC_INFO ("control.leader", "leader", LC_STR (leader != NULL ? leader->name : ""), "is_self",
            LC_U64 (lc_raft_is_leader (raft)), "term", LC_U64 (raft->term), "commit_index",
            LC_U64 (raft->commit_index), "voters", LC_U64 (lc_raft_config_n_voters (&raft->config)));
 }
 
-/* === private: pumping ======================================================================= */
+/* === private: outputs ======================================================================= */
 
 static bool
 lc_replica__pump_once (LcReplica *replica)
@@ -212,8 +212,8 @@
   lc_raft_suspend (&replica->raft, true, lc_replica__now_us ());
 }
 
-/* Nothing that was not confirmed has been acknowledged, so ending here loses nothing; what the
- * folder holds now is only known after recovery. */
+/* Only confirmed writes were acknowledged, so ending here loses nothing; what the folder holds is
+ * only known after recovery. */
 static void
 lc_replica__on_disk_failed (const LcStoreReport *report)
 {
@@ -304,21 +304,21 @@
                       .heartbeat_ms = s->heartbeat_ms,
                       .election_min_ms = s->election_min_ms,
                       .election_max_ms = s->election_max_ms,
-                      .term = replica->found.term,
-                      .vote = replica->found.vote,
-                      .snapshot = replica->found.snapshot,
-                      .entries = (const LcRaftEntry *)replica->found.entries->data,
-                      .n_entries = replica->found.entries->len,
-                      .commit_index = replica->found.commit_index,
-                      .initial_config = replica->found.initial };
+                      .term = replica->recovered.term,
+                      .vote = replica->recovered.vote,
+                      .snapshot = replica->recovered.snapshot,
+                      .entries = (const LcRaftEntry *)replica->recovered.entries->data,
+                      .n_entries = replica->recovered.entries->len,
+                      .commit_index = replica->recovered.commit_index,
+                      .initial_config = replica->recovered.initial };
   LcStoreTaskDesc task = { .loop = replica->desc.app->loop,
                            .store = &replica->store,
                            .user = replica,
                            .done = lc_replica__on_stored };
 
   lc_raft_init (&replica->raft, &desc, lc_replica__now_us ());
-  replica->snapshot_index = replica->found.snapshot.index;
-  lc_store_recovered_finish (&replica->found);
+  replica->snapshot_index = replica->recovered.snapshot.index;
+  lc_store_recovered_finish (&replica->recovered);
   lc_store_task_init (&replica->task, &task);
   replica->is_formed = true;
   replica->formed_us = lc_replica__now_us ();
@@ -340,18 +340,18 @@
 
   desc.disk = lc_disk_posix_interface (&replica->disk);
   lc_store_init (&replica->store, &desc);
-  r = lc_store_open (&replica->store, &replica->found, error);
-  if (r == 0 && replica->found.replica == 0)
+  r = lc_store_open (&replica->store, &replica->recovered, error);
+  if (r == 0 && replica->recovered.replica == 0)
     {
-      replica->found.replica = lc_replica__new_id ();
-      r = lc_store_format (&replica->store, replica->found.replica, error);
+      replica->recovered.replica = lc_replica__new_id ();
+      r = lc_store_format (&replica->store, replica->recovered.replica, error);
     }
   if (replica->store.counters.torn_total > 0)
     LC_WARN ("control.torn-tail-cut", "bytes", LC_U64 (replica->store.counters.torn_bytes),
              "meaning", LC_STR ("a write was cut off by a crash; it was never acknowledged"));
   lc_metric_set (replica->metrics.torn_total, (int64_t)replica->store.counters.torn_total);
-  replica->id = replica->found.replica;
-  replica->cluster = replica->found.cluster;
+  replica->id = replica->recovered.replica;
+  replica->cluster = replica->recovered.cluster;
   return r;
 }
 
@@ -396,7 +396,7 @@
     }
   if (lc_replica__has_disk (replica))
     {
-      lc_store_recovered_finish (&replica->found);
+      lc_store_recovered_finish (&replica->recovered);
       lc_store_finish (&replica->store);
       lc_disk_posix_finish (&replica->disk);
     }
@@ -450,7 +450,7 @@
     lc_metric_add (replica->metrics.malformed_total, 1);
   else
     {
-      /* Only one hop: a follower that is asked drops it, and the asker sends it again. */
+      /* One hop only: a follower drops it, and the sender proposes it again. */
       if (replica->is_formed && lc_raft_is_leader (&replica->raft))
         (void)lc_replica_propose (replica, &command, &error);
       lc_control_command_finish (&command);
@@ -562,7 +562,7 @@
   return !lc_replica_is_leader (replica) || lc_raft_config_n_voters (&replica->raft.config) < 2;
 }
 
-/* === public: questions ====================================================================== */
+/* === public: queries ======================================================================== */
 
 const LcControlState *
 lc_replica_state (const LcReplica *replica)
--- a/src/control/lc-replica.h
+++ b/src/control/lc-replica.h
@@ -1,32 +1,32 @@
-/* lc-replica: the task that runs this VM's replica of the log.
+/* lc-replica: one Raft replica of the control cluster: its log, disk, peers and membership.
  *
  * WHAT IT IS
- *   Ties lc-raft to the clock, the disk thread and the links to the other control VMs, applies
+ *   Drives lc-raft with the clock, the store thread and the links to the other control VMs, applies
  *   committed commands to the state machine, takes snapshots, forms the cluster at its first start
- *   and carries out the replacement of a control VM while it leads.
+ *   and, on the leader, replaces control VMs.
  *
  * HOW TO USE IT
  *     lc_replica_init (&replica, &desc, &error);
- *     lc_replica_propose (&replica, &command, &error);   a follower hands it to the leader
+ *     lc_replica_propose (&replica, &command, &error);   a follower forwards it to the leader
  *     lc_replica_state (&replica)                        the applied state
  *     lc_replica_frame (&replica, link, frame);          frames 200..299 of the peer server
  *     lc_replica_finish (&replica);
- *   `applied` is called after each batch of applied commands; the answer of a plan or confirm is
+ *   `applied` is called after each batch of applied commands; the answer to a plan or confirm is
  *   then in the state under its request id, on every VM.
  *
  * FORMING A CLUSTER
- *   A replica's id is random and made with its data folder, so a VM that lost its disk comes back
- *   as somebody else and can't vote twice.  With an empty folder it asks the VMs of `members` who
- *   they are.  When all answer that they belong to no cluster, each forms the same one from the
- *   same list.  When one belongs to a cluster whose first members include this id, it joins that;
- *   otherwise it stands by until the leader takes it in (setting `heals`), or an operator adds it
- * by `replace-control-vm`.
+ *   A replica's id is random and created with its data folder, so a VM that lost its disk has a new
+ *   id and can't vote twice.  With an empty folder it sends hellos to the VMs of `members`:
+ *     - All reply that they are in no cluster: each forms the same one from the same list.
+ *     - One is in a cluster whose first members include this id: it joins that.
+ *     - Otherwise it is a standby until the leader adds it (setting `heals`), or an operator
+ *       does (`replace-control-vm`).
  *
- * STANDING BY
- *   A replica that belongs to no cluster asks the VMs of `members`, and those they name, who the
- *   members are, so that the leader sees it and calls can be passed on (lc-replica-standby.c).  One
- *   without a disk stands by for ever.  A replica that learns that its cluster has removed it, say
- *   while it was frozen, empties its folder and stands by under a new id.
+ * STANDBY
+ *   A replica in no cluster sends hellos to the VMs of `members` and to the members that replies
+ *   list, so that the leader can find it and it can redirect calls (lc-replica-standby.c).  One
+ *   without a disk stays a standby.  A replica that its cluster removed, say while it was frozen,
+ *   empties its folder as soon as a reply shows it, and is a standby under a new id.
  *
  * THREADS
  *   Everything on app->loop's thread; the disk has its own (lc-store-task).
@@ -55,15 +55,15 @@
   LcApp *app;
   const LcControlSettings *settings;
   void *user;
-  /* `is_reset`: the state was replaced by a snapshot, `ops` is empty. */
+  /* `is_reset`: a snapshot replaced the state, or it was emptied; `ops` is empty. */
   void (*applied) (void *user, const LcViewOp *ops, size_t n_ops, bool is_reset);
-  /* A VM that stands by has learned of other members than before. */
-  void (*learned) (void *user);
+  /* On a standby: its peers report other members than before. */
+  void (*members_changed) (void *user);
 } LcReplicaDesc;
 
 typedef struct LcReplica LcReplica;
 
-/* A control VM that this one talks to. */
+/* Another control VM, and the link to it. */
 typedef struct
 {
   LcReplica *replica;
@@ -71,19 +71,19 @@
   uint16_t port;
   bool is_used;
   LcLinkClient client;
-  LcReplicaId id; /* as it said itself; 0: unknown */
+  LcReplicaId id; /* from its hello reply or log messages; 0: unknown */
   uint64_t cluster;
   bool has_no_disk;
   char name[LC_NAME_MAX];
   LcRaftConfig initial;
-  int64_t heard_us;
+  int64_t received_us; /* its last hello reply or log message; 0: none */
 } LcReplicaPeer;
 
-/* What others say of the cluster's members. */
+/* Membership of the cluster as a peer reports it. */
 typedef struct
 {
   LcRaftConfig members;
-  uint64_t members_index; /* one more than where in the log they were set; 0: nothing is known */
+  uint64_t members_index; /* 1 + log index of the configuration; 0: unknown */
   LcReplicaId leader;
 } LcReplicaLearned;
 
@@ -111,32 +111,32 @@
   LcDiskPosix disk;
   LcStore store;
   LcStoreTask task;
-  LcStoreRecovered found;
+  LcStoreRecovered recovered;
   LcReplicaId id;
   uint64_t cluster;
   bool is_formed;
-  int64_t formed_us; /* when it began to take part in the log */
+  int64_t formed_us; /* when lc-raft was started */
   LcRaft raft;
   LcControlState state;
-  GArray *ops; /* LcViewOp applied since `applied` was last called */
+  GArray *ops; /* LcViewOp, applied since the last call of `applied` */
   LcReplicaPeer *peers[LC_REPLICA_PEERS_MAX];
-  LcSocketAddress seeds[LC_CONTROL_MEMBERS_MAX]; /* VMs of the newest settings */
+  LcSocketAddress seeds[LC_CONTROL_MEMBERS_MAX]; /* `members` of the newest settings */
   uint32_t n_seeds;
   LcTimer timer;
   LcReplicaMetrics metrics;
   LcLogLimit log_limit;
-  LcReplicaLearned learned; /* while it belongs to no cluster */
-  bool is_removed;          /* its cluster goes on without it: it starts over at the next tick */
+  LcReplicaLearned reported; /* while it is in no cluster */
+  bool is_removed;          /* by its cluster: it starts over at the next tick */
   uint64_t snapshot_index;  /* newest saved or being saved */
   uint64_t log_bytes;       /* applied since then */
   bool is_snapshotting;
-  LcReplicaId noted_leader; /* as it was logged last */
-  uint64_t noted_term;
+  LcReplicaId logged_leader; /* as of the last log line */
+  uint64_t logged_term;
   bool is_pumping;
   bool has_disk_full;
   bool is_waiting_logged;
-  int64_t slow_tick_us; /* of the next forming or replacing step */
-  int64_t proposed_us;  /* when the oldest command that waits for commit was proposed here */
+  int64_t slow_tick_us; /* due time of the next step that forms, heals or replaces */
+  int64_t proposed_us;  /* of the oldest command proposed here that is not committed */
   uint64_t proposed_index;
 };
 
@@ -144,29 +144,29 @@
 void lc_replica_finish (LcReplica *replica);
 void lc_replica_frame (LcReplica *replica, LcLink *link, const LcFrame *frame);
 
-/* 0: proposed, or handed to the leader; the outcome shows in the state.  LC_ERR_UNAVAILABLE: no
- * leader is known now. */
+/* 0: proposed, or forwarded to the leader; the result is in the state once applied.
+ * LC_ERR_UNAVAILABLE: no leader is known or reachable now. */
 int lc_replica_propose (LcReplica *replica, const LcControlCommand *command, LcError *error);
-/* The settings name other VMs to start from.  Who founded the cluster stays as it was. */
+/* After a reload of `members`; the cluster's first members stay the same. */
 void lc_replica_set_seeds (LcReplica *replica, const LcSocketAddress *seeds, uint32_t n);
-/* A planned stop: hands leadership over. */
+/* For a planned stop: begins the transfer of leadership. */
 void lc_replica_leave (LcReplica *replica);
-/* Whether leadership is handed over, or there is nobody to hand it to. */
+/* Whether it is no leader, or the only voter. */
 bool lc_replica_may_stop (const LcReplica *replica);
 
 const LcControlState *lc_replica_state (const LcReplica *replica);
 bool lc_replica_is_leader (const LcReplica *replica);
-/* Whether reads of the state now are as new as any commit anywhere. */
+/* Whether a read of the state is linearizable now: this is the leader and its lease holds. */
 bool lc_replica_can_read (LcReplica *replica);
-/* The leader as a member, or NULL. */
+/* NULL: none is known. */
 const LcRaftMember *lc_replica_leader (const LcReplica *replica);
-/* It belongs to no cluster, and knows who does. */
+/* Whether it is in no cluster, and its peers report the members of one. */
 bool lc_replica_stands_by (const LcReplica *replica);
-/* While it belongs to no cluster: a VM that does and answered lately, best the leader, or NULL. */
+/* On a standby: a member to redirect calls to, the leader if it replied lately; or NULL. */
 const LcReplicaPeer *lc_replica_route (const LcReplica *replica);
-/* The members' addresses, as far as this VM knows them; returns how many of `max`. */
+/* The peer addresses of the known members; returns how many, `max` at most. */
 uint32_t lc_replica_addresses (const LcReplica *replica, LcSocketAddress *out, uint32_t max);
-/* Microseconds since this VM last heard a leader; 0 on the leader; -1: never. */
+/* Time since the last contact with a leader; 0 on the leader; -1: none yet. */
 int64_t lc_replica_silence_us (const LcReplica *replica);
 
 #endif /* LC_REPLICA_H */
