--- a/src/control/lc-codec-private.h
+++ b/src/control/lc-codec-private.h
@@ -1,4 +1,4 @@
-/* lc-codec-private: what the codecs of control share.
+/* lc-codec-private: helpers shared by the Protobuf codecs of control.
  *
  *   lc-control-codec.c        intents and commands
  *   lc-control-state-codec.c  the state machine's snapshot
@@ -13,7 +13,7 @@
 
 #include <string.h>
 
-/* What one message points to while it is packed; freed at once. */
+/* Memory that a message points to, all freed after it was packed. */
 typedef GPtrArray LcArena;
 
 static inline LcArena *
@@ -31,7 +31,7 @@
   return memory;
 }
 
-/* Room for `n` pointers to messages. */
+/* Allocates `n` pointers to messages. */
 static inline void *
 lc_codec__list (LcArena *arena, size_t n)
 {
--- a/src/control/lc-control-codec.h
+++ b/src/control/lc-control-codec.h
@@ -1,15 +1,16 @@
-/* lc-control-codec: commands, the state machine's snapshot and log messages as bytes.
+/* lc-control-codec: Protobuf encoding of commands, state machine snapshots and Raft messages.
  *
  * HOW TO USE IT
  *     GBytes *bytes = lc_control_command_pack (&command);
  *     lc_control_command_unpack (&command, bytes, len, &error);   then lc_control_command_finish
  *     GBytes *snapshot = lc_control_state_pack (&state);
  *     lc_control_state_unpack (&state, snapshot, &error);         replaces the state
+ *     bytes = lc_raft_message_pack (&message, &envelope);
  *     lc_raft_message_unpack (&message, &envelope, bytes, len, &error);
  *
  * LIMITS
- *   Names and lists over their bounds are refused with LC_ERR_INVALID; a state is replaced only
- *   when the whole snapshot was read.
+ *   Names and lists over their bounds are refused with LC_ERR_INVALID; a state is replaced only by
+ *   a snapshot that is valid as a whole.
  */
 #ifndef LC_CONTROL_CODEC_H
 #define LC_CONTROL_CODEC_H
@@ -31,11 +32,11 @@
   GBytes *lc_control_state_pack (const LcControlState *state);
   int lc_control_state_unpack (LcControlState *state, GBytes *bytes, LcError *error);
 
-  /* What travels beside a log message. */
+  /* Header of a Raft message. */
   typedef struct
   {
     uint64_t cluster;
-    uint32_t ipv4; /* where the sender listens for peers */
+    uint32_t ipv4; /* the sender's peer address */
     uint16_t port;
   } LcRaftEnvelope;
 
--- a/src/control/lc-control-frames.h
+++ b/src/control/lc-control-frames.h
@@ -1,4 +1,4 @@
-/* lc-control-frames: the frames between control VMs. */
+/* lc-control-frames: types of the frames between control VMs; beside each its message. */
 #ifndef LC_CONTROL_FRAMES_H
 #define LC_CONTROL_FRAMES_H
 
--- a/src/control/lc-control-http-declare.c
+++ b/src/control/lc-control-http-declare.c
@@ -1,4 +1,4 @@
-/* lychee-control's answers to a numbered declaration, and to who asks for the newest one. */
+/* Numbered declarations: taking one, and returning the newest. */
 #include "lc-control-http-private.h"
 
 #include "core/control/lc-home-check.h"
@@ -10,9 +10,9 @@
   LC_CONTROL_HTTP_SHOWN_LOGS_PER_S = 20,
 };
 
-/* === private: the newest one ================================================================ */
+/* === private: returning one ================================================================= */
 
-/* Who was told what of the newest declaration, and by what right. */
+/* Logs an answer with what shows whether this VM could have had the newest declaration. */
 static void
 lc_control_http__log_shown (LcControlHttp *http, const char *outcome)
 {
@@ -71,7 +71,7 @@
   lc_control_http__wait (http, req, &command);
 }
 
-/* Only the leader under its lease knows which declaration is the newest. */
+/* Only the leader, while its lease holds, is sure to have the newest declaration. */
 void
 lc_control_http__show_declaration (LcControlHttp *http, h2o_req_t *req)
 {
--- a/src/control/lc-control-http-private.h
+++ b/src/control/lc-control-http-private.h
@@ -1,7 +1,8 @@
-/* lc-control-http-private: what the files of lc-control-http share; not for others.
+/* lc-control-http-private: functions shared by the source files of lc-control-http.
  *
- * lc-control-http.c takes commands and answers them, lc-control-http-declare.c numbered
- * declarations among them, lc-control-http-status.c shows what is.
+ *   lc-control-http.c          commands, history, plans, routing
+ *   lc-control-http-declare.c  numbered declarations
+ *   lc-control-http-status.c   status
  */
 #ifndef LC_CONTROL_HTTP_PRIVATE_H
 #define LC_CONTROL_HTTP_PRIVATE_H
@@ -12,20 +13,20 @@
 
 enum
 {
-  LC_CONTROL_HTTP_ENDPOINTS_MAX = 2000, /* shown in one status */
+  LC_CONTROL_HTTP_ENDPOINTS_MAX = 2000, /* in one status */
   LC_CONTROL_HTTP_DCS_MAX = 64,
 };
 
-/* Answers with `body`, which it takes over. */
+/* Takes ownership of `body`. */
 void lc_control_http__send (h2o_req_t *req, int status, json_t *body);
 void lc_control_http__fail (LcControlHttp *http, h2o_req_t *req, const LcError *error);
-/* To the same path at another control VM: all of them have the same HTTP port. */
+/* Redirects to the same path on another control VM; all use the same HTTP port. */
 void lc_control_http__redirect (LcControlHttp *http, h2o_req_t *req, uint32_t ipv4);
-/* Negative, with this code, when too many requests wait for their commands already. */
+/* Fails with `code` when too many requests wait for their commands. */
 int lc_control_http__check_room (const LcControlHttp *http, LcErrorCode code, LcError *error);
-/* Proposes the command, which it takes over, and answers when it is applied. */
+/* Proposes the command and answers when it is applied; takes ownership of its contents. */
 void lc_control_http__wait (LcControlHttp *http, h2o_req_t *req, LcControlCommand *command);
-/* A numbered declaration, and a question for the newest one. */
+/* Takes a numbered declaration; returns the newest one. */
 void lc_control_http__declare (LcControlHttp *http, h2o_req_t *req);
 void lc_control_http__show_declaration (LcControlHttp *http, h2o_req_t *req);
 /* GET /v1/status */
--- a/src/control/lc-control-http-status.c
+++ b/src/control/lc-control-http-status.c
@@ -84,7 +84,7 @@
   return out;
 }
 
-/* Losses that the guard holds back because too much vanished at once. */
+/* Losses that the guard holds because too many were reported at once. */
 static json_t *
 lc_control_http__guard (const LcControlHttp *http)
 {
@@ -113,7 +113,7 @@
   (void)json_object_set_new (out, "name", json_string (http->desc.settings->name));
   (void)json_object_set_new (out, "is_leader", json_boolean (lc_replica_is_leader (replica)));
   (void)json_object_set_new (out, "leader", json_string (leader != NULL ? leader->name : ""));
-  /* The leader under its lease has every commit; others say how long they heard nothing. */
+  /* Only the leader, while its lease holds, has every commit; others report silent_ms. */
   (void)json_object_set_new (out, "is_newest", json_boolean (lc_replica_can_read (replica)));
   (void)json_object_set_new (out, "silent_ms",
                              json_integer (silence_us < 0 ? -1 : silence_us / LC_US_PER_MS));
--- a/src/control/lc-control-http.c
+++ b/src/control/lc-control-http.c
@@ -10,23 +10,23 @@
 enum
 {
   LC_CONTROL_HTTP_TICK_MS = 100,
-  LC_CONTROL_HTTP_RESEND_US = 500000, /* a forwarded command may be lost: hand it over again */
+  LC_CONTROL_HTTP_RESEND_US = 500000, /* a forwarded command may be lost */
   LC_CONTROL_HTTP_WAITING_MAX = 1024,
   LC_CONTROL_HTTP_HISTORY_MAX = 1000,
 };
 
-/* In the request's own memory, which h2o frees with it. */
+/* In the request's memory pool: its disposal shows that the client is gone. */
 typedef struct
 {
-  struct LcControlWait *wait; /* NULL once it was answered */
+  struct LcControlWait *wait; /* NULL: answered */
 } LcControlSlot;
 
 /* A request whose command is not applied yet. */
 typedef struct LcControlWait
 {
   LcControlHttp *http;
-  h2o_req_t *req;      /* NULL once the client is gone */
-  LcControlSlot *slot; /* while there is a request */
+  h2o_req_t *req;      /* NULL: the client is gone */
+  LcControlSlot *slot; /* valid while `req` is set */
   LcControlCommand command;
   int64_t deadline_us;
   int64_t resend_us;
@@ -80,7 +80,6 @@
   lc_http_answer_error (req, error);
 }
 
-/* The address of another control VM's HTTP port: all of them use the same one. */
 void
 lc_control_http__redirect (LcControlHttp *http, h2o_req_t *req, uint32_t ipv4)
 {
@@ -104,7 +103,7 @@
   (void)g_ptr_array_remove_fast (http->waiting, wait);
 }
 
-/* The client went away: the command goes on, and a resend finds its answer. */
+/* The client left: its command continues, and a resent request finds the answer. */
 static void
 lc_control_http__on_gone (void *memory)
 {
@@ -114,7 +113,7 @@
     slot->wait->req = NULL;
 }
 
-/* A numbered declaration is answered once it, or one above it, is in force in this VM's state. */
+/* A numbered declaration is answered once this number or a higher one is applied here. */
 static bool
 lc_control_http__try_numbered (LcControlHttp *http, LcControlWait *wait)
 {
@@ -134,7 +133,7 @@
   return true;
 }
 
-/* Whether it is answered: its answer is in the state. */
+/* Answers if the answer is in the state; false: not yet. */
 static bool
 lc_control_http__try_answer (LcControlHttp *http, LcControlWait *wait)
 {
@@ -209,10 +208,10 @@
           lc_control_http__end_wait (http, wait);
         }
       else if (wait->req == NULL && wait->command.kind == LC_COMMAND_EVACUATE)
-        lc_control_http__end_wait (http, wait); /* its operator gives it to another VM, or not */
+        lc_control_http__end_wait (http, wait); /* resending is up to its operator */
       else if (now_us >= wait->resend_us)
         {
-          /* Applying it twice is harmless: the second finds the first answer. */
+          /* Applied twice, the second time has no effect: the first answer exists. */
           wait->resend_us = now_us + LC_CONTROL_HTTP_RESEND_US;
           (void)lc_replica_propose (http->desc.replica, &wait->command, NULL);
         }
@@ -249,7 +248,7 @@
       lc_control_http__end_wait (http, wait);
       return;
     }
-  /* No leader just now: the next tick tries again, until the deadline. */
+  /* Without a leader each tick tries again, until the deadline. */
   if (lc_replica_propose (http->desc.replica, &wait->command, NULL) < 0)
     wait->resend_us = now_us;
 }
@@ -301,7 +300,7 @@
            LC_U64 (command->evacuation.seen_revision), "outcome", LC_STR (outcome));
 }
 
-/* Hands an order over, with what this VM has seen of its data centre. */
+/* Proposes an order, with the revision of the last one for its data centre that this VM applied. */
 static void
 lc_control_http__evacuate (LcControlHttp *http, h2o_req_t *req, LcControlCommand *command)
 {
@@ -334,7 +333,7 @@
     lc_control_http__evacuate (http, req, &command);
 }
 
-/* The platform's orders have no id: one that is sent again is another order for the same. */
+/* The platform's orders have no request id: one that is resent is a new order. */
 static void
 lc_control_http__evacuate_by_path (LcControlHttp *http, h2o_req_t *req, const LcPlatformCall *call)
 {
@@ -355,7 +354,7 @@
 
 /* === private: calls of the platform ========================================================= */
 
-/* A VM that belongs to no cluster sends the caller on to one that does. */
+/* A VM in no cluster redirects the caller to a member. */
 static void
 lc_control_http__pass_on (LcControlHttp *http, h2o_req_t *req)
 {
@@ -372,7 +371,7 @@
   lc_control_http__fail (http, req, &error);
 }
 
-/* Whether it was a call of the platform's operators. */
+/* Returns whether it was a call of the platform. */
 static bool
 lc_control_http__platform (LcControlHttp *http, h2o_req_t *req)
 {
@@ -408,7 +407,7 @@
 
 /* === private: history and plans ============================================================= */
 
-/* The number after "key=" in the query, or `fallback`. */
+/* The number after `key`, such as "max=", in the query, or `fallback`. */
 static uint64_t
 lc_control_http__query (const h2o_req_t *req, const char *key, uint64_t fallback)
 {
--- a/src/control/lc-control-http.h
+++ b/src/control/lc-control-http.h
@@ -1,14 +1,15 @@
-/* lc-control-http: the operators' HTTP interface of one control VM.
+/* lc-control-http: the operators' and the platform's HTTP interface of a control VM.
  *
  * WHAT IT IS
- *     POST /v1/plan      an intent; answers with the plan
- *     POST /v1/confirm   a plan's number; answers with the revision
- *     GET  /v1/status    members, data centres, services, work under way
- *     GET  /v1/history   who changed what when; ?after=REVISION&max=N
- *     GET  /v1/plans/ID  one plan with its progress
- *   Any control VM takes them: a follower hands commands to the leader and answers when the
- *   command is applied in its own copy.  A resent request is answered with the first answer,
- *   wherever it is sent.
+ *     POST /v1/plan       an intent; answers with the plan
+ *     POST /v1/confirm    a plan's number; answers with the revision
+ *     POST /v1/evacuate   begins or ends an evacuation; answers with the revision
+ *     GET  /v1/status     members, data centres, services, work under way
+ *     GET  /v1/history    who changed what when; ?after=REVISION&max=N
+ *     GET  /v1/plans/ID   one plan with its progress
+ *   and the platform's calls (platform/).  Any control VM takes them: a follower forwards commands
+ *   to the leader and answers when the command is applied to its own state.  A resent request gets
+ *   the first answer, on any control VM.
  *
  * HOW TO USE IT
  *     lc_control_http_init (&http, &desc, &error);
@@ -31,14 +32,14 @@
   LcApp *app;
   const LcControlSettings *settings;
   LcReplica *replica;
-  LcDistributor *const *distributor; /* made after this */
+  LcDistributor *const *distributor; /* created later; points to NULL until then */
 } LcControlHttpDesc;
 
 typedef struct
 {
   LcControlHttpDesc desc;
   LcHttp http;
-  GPtrArray *waiting; /* private requests */
+  GPtrArray *waiting; /* LcControlWait, private: requests that wait for their command */
   LcLogLimit shown_limit;
   LcTimer timer;
   LcMetric *requests_total;
--- a/src/control/lc-control-json.c
+++ b/src/control/lc-control-json.c
@@ -13,7 +13,7 @@
                        "%s must be %s", path, expected);
 }
 
-/* Refuses fields that nobody reads: a misspelt limit must not be silently absent. */
+/* Refuses unknown fields: a misspelt limit must not be ignored silently. */
 static int
 lc_json__only (const json_t *object, const char *path, const char *const *known, LcError *error)
 {
@@ -138,7 +138,7 @@
   return r;
 }
 
-/* The place alone, or an object with the regions that its new flows are kept to. */
+/* A string, or an object that also has the home regions, which alone get its new flows. */
 static int
 lc_json__address (const json_t *value, const char *path, LcDeclaredAddress *address, LcError *error)
 {
--- a/src/control/lc-control-settings.h
+++ b/src/control/lc-control-settings.h
@@ -1,9 +1,7 @@
-/* lc-control-settings: the settings of lychee-control.
+/* lc-control-settings: settings schema of lychee-control.
  *
- * `members` lists the peer addresses of every control VM that the cluster is formed with, this one
- * too.  Once formed, the members in the replicated log are in force and the list is
- * only used to find peers before that.  lc_control_settings_voters gives the number of voters that
- * a cluster that heals grows to.
+ * `members` lists the peer addresses of all control VMs that form the cluster, this one too.  Once
+ * it is formed, the members in the replicated log count; the list is then only used to find peers.
  */
 #ifndef LC_CONTROL_SETTINGS_H
 #define LC_CONTROL_SETTINGS_H
@@ -13,7 +11,7 @@
 enum
 {
   LC_CONTROL_MEMBERS_MAX = 9,
-  LC_CONTROL_REGIONS_BYTES = 4096, /* a region for each of some hundred data centres */
+  LC_CONTROL_REGIONS_BYTES = 4096, /* one per data centre, for some hundred */
 };
 
 typedef struct
@@ -25,13 +23,13 @@
   uint16_t http_port;
   uint16_t admin_port;
   char regions[LC_CONTROL_REGIONS_BYTES]; /* names joined by commas, repeats allowed */
-  char data_folder[256]; /* empty: no disk; this VM neither votes nor stores, it passes calls on */
+  char data_folder[256];                  /* empty: no disk; it never votes, and redirects calls */
   LcSocketAddress members[LC_CONTROL_MEMBERS_MAX];
   uint32_t n_members;
-  uint16_t members_peer_port; /* 0: as in `members` */
-  bool may_form; /* false: the cluster was formed before, whatever the data folder says */
-  bool heals;    /* lost members are replaced without an operator */
-  uint32_t disks_lost_at_once; /* voters: twice that and one; 0: as many as `members` */
+  uint16_t members_peer_port;  /* 0: as in `members` */
+  bool may_form;               /* false: the cluster exists; an empty data folder forms none */
+  bool heals;                  /* lost members are replaced automatically */
+  uint32_t disks_lost_at_once; /* 2 n + 1 voters; 0: as many as `members` */
   uint32_t heartbeat_ms;
   uint32_t election_min_ms;
   uint32_t election_max_ms;
@@ -45,9 +43,9 @@
 
 extern const LcSettingsSchema LC_CONTROL_SCHEMA;
 
-/* How many members are to vote. */
+/* The number of voters that a cluster with `heals` grows to. */
 uint32_t lc_control_settings_voters (const LcControlSettings *settings);
-/* Cross-field check for lc_app_init: NULL or what is wrong. */
+/* Cross-field check for lc_app_init: NULL, or the error. */
 const char *lc_control_settings_check (const void *settings);
 
 #endif /* LC_CONTROL_SETTINGS_H */
--- a/src/control/lc-control-state-codec.c
+++ b/src/control/lc-control-state-codec.c
@@ -279,7 +279,7 @@
 {
   LcEndpointRecord *r;
 
-  /* The table's keys are the names inside its records: a second record must not replace one. */
+  /* Keys point into the records: a duplicate would replace a record but keep its freed key. */
   if (strlen (m->name) >= LC_NAME_MAX || g_hash_table_contains (state->endpoints, m->name))
     return false;
   r = g_new0 (LcEndpointRecord, 1);
--- a/src/control/lc-distributor-duties.c
+++ b/src/control/lc-distributor-duties.c
@@ -8,10 +8,10 @@
   LC_DISTRIBUTOR_SWEEP_MS = 1000,
 };
 
-/* Longer than any flow or claim is kept, and than an ordinary outage. */
+/* Longer than any flow or claim is kept, and than usual outages. */
 #define LC_DISTRIBUTOR_FORGET_US (600 * LC_US_PER_S)
 
-/* === private: a data centre without watchers ================================================ */
+/* === private: data centres without balancers ================================================ */
 
 static bool
 lc_distributor__has_balancer (const LcView *view, LcDcId dc, bool *has_any)
@@ -81,7 +81,7 @@
   return e == NULL || e->state != LC_ENDPOINT_LOST;
 }
 
-/* A lost endpoint may come back with its flows, so it stays in the view; but not for ever. */
+/* A lost endpoint may return with its flows, so it stays in the view for this time. */
 static void
 lc_distributor__forget_lost (LcDistributor *d, const LcService *s, int64_t now_us)
 {
@@ -112,8 +112,8 @@
     lc_distributor__forget_lost (d, value, now_us);
 }
 
-/* Where every balancer is lost, nobody is left to report the endpoints.  The guard has held the
- * loss of the balancers already, and holds that of the endpoints in its turn. */
+/* Where all balancers are lost, none is left to report the endpoints.  The guard first held the
+ * loss of the balancers, and holds that of the endpoints in turn. */
 void
 lc_distributor__sweep (LcDistributor *d, int64_t now_us)
 {
--- a/src/control/lc-distributor-private.h
+++ b/src/control/lc-distributor-private.h
@@ -1,8 +1,8 @@
-/* lc-distributor-private: what the parts of lc-distributor share.
+/* lc-distributor-private: struct and functions shared by its source files.
  *
- *   lc-distributor.c          what balancers say, their leases, the view, lifetime
- *   lc-distributor-propose.c  changes on their way to the log
- *   lc-distributor-duties.c   what only the leader does from time to time
+ *   lc-distributor.c          frames of members, balancers' leases, the view, lifetime
+ *   lc-distributor-propose.c  batches of changes for the log
+ *   lc-distributor-duties.c   periodic work of the leader
  */
 #ifndef LC_DISTRIBUTOR_PRIVATE_H
 #define LC_DISTRIBUTOR_PRIVATE_H
@@ -20,13 +20,13 @@
   LcViewServer server;
   LcWatch watch; /* leases of balancers */
   LcLossGuard guard;
-  GHashTable *pending; /* hash of (kind, name, instance) -> time of the proposal */
-  GArray *batch;       /* LcMemberChange: proposed together when `batch_pace` says so */
+  GHashTable *pending; /* "kind name instance" -> time of the proposal */
+  GArray *batch;       /* LcMemberChange; proposed together when `batch_pace` is due */
   LcBatchPace batch_pace;
   LcTimer batch_timer;
   LcTimer tick;
   int64_t started_us;
-  int64_t led_us; /* last moment as leader */
+  int64_t led_us; /* last tick as leader */
   int64_t seeded_us;
   int64_t settled_us;
   int64_t swept_us;
@@ -48,15 +48,16 @@
 
 void lc_distributor__init_proposals (LcDistributor *d);
 void lc_distributor__finish_proposals (LcDistributor *d);
-/* What was proposed long ago may be proposed again; at each tick. */
+/* At each tick: drops old proposals from `pending`, so that they can be repeated. */
 void lc_distributor__forget_old (LcDistributor *d, int64_t now_us);
-/* Hands a change to the log, unless the same one is on its way. */
+/* Adds a change to the batch, unless an equal one is pending. */
 void lc_distributor__propose (LcDistributor *d, const LcMemberChange *change, int64_t now_us);
-/* The same for what was reported: the guard may hold it, and an endpoint needs a place. */
+/* The same for a reported change: the guard may hold it, and an endpoint's service and data centre
+ * must exist. */
 void lc_distributor__take (LcDistributor *d, const LcMemberChange *change, int64_t now_us);
-/* Endpoints that nobody is left to report, and those that stay lost; each second. */
+/* Each second: endpoints in data centres without a live balancer, and those that stay lost. */
 void lc_distributor__sweep (LcDistributor *d, int64_t now_us);
-/* Proposes the newest revision that every live balancer and agent has acknowledged. */
+/* Proposes as settled the newest revision acknowledged by every live balancer and agent. */
 void lc_distributor__settle (LcDistributor *d, int64_t now_us);
 
 #endif /* LC_DISTRIBUTOR_PRIVATE_H */
--- a/src/control/lc-distributor-propose.c
+++ b/src/control/lc-distributor-propose.c
@@ -7,18 +7,18 @@
 enum
 {
   LC_DISTRIBUTOR_BATCH_FIRST_MS = 2,
-  LC_DISTRIBUTOR_BATCH_MS = 20,                            /* between batches at least */
-  LC_DISTRIBUTOR_WAITING_MAX = 16 * LC_MEMBER_CHANGES_MAX, /* changes that wait for a leader */
-  LC_DISTRIBUTOR_PENDING_MS = 900, /* an equal proposal waits so long: below the resend time */
+  LC_DISTRIBUTOR_BATCH_MS = 20,                            /* shortest interval */
+  LC_DISTRIBUTOR_WAITING_MAX = 16 * LC_MEMBER_CHANGES_MAX, /* changes kept without a leader */
+  LC_DISTRIBUTOR_PENDING_MS = 900, /* equal changes are dropped; below the resend time */
   LC_DISTRIBUTOR_LOGS_PER_S = 2,
   LC_DISTRIBUTOR_PROPOSAL_LOGS_PER_S = 30,
 };
 
-/* Fifty entries a second at most, however many members change. */
+/* 50 log entries per second at most, however many members change. */
 static const LcBatchPaceDesc LC_DISTRIBUTOR_BATCH = {
   .first_us = LC_DISTRIBUTOR_BATCH_FIRST_MS * LC_US_PER_MS,
   .interval_us = LC_DISTRIBUTOR_BATCH_MS * LC_US_PER_MS,
-  .retry_for_us = LC_DISTRIBUTOR_PENDING_MS * LC_US_PER_MS, /* then its sender repeats it */
+  .retry_for_us = LC_DISTRIBUTOR_PENDING_MS * LC_US_PER_MS, /* then its reporter repeats it */
 };
 
 /* === private: batches ======================================================================= */
@@ -36,7 +36,6 @@
   return g_strdup (text);
 }
 
-/* What this control VM has come to believe of a member, and hands to the log. */
 static void
 lc_distributor__log_proposal (LcDistributor *d, const LcMemberChange *change, int64_t now_us)
 {
@@ -50,7 +49,7 @@
              LC_U64 (d->proposal_limit.suppressed_total));
 }
 
-/* What could not be taken is not on its way: it may be proposed again at once. */
+/* A change that was not proposed may be proposed again at once. */
 static void
 lc_distributor__forget (LcDistributor *d, const LcMemberChange *change)
 {
@@ -60,7 +59,7 @@
   g_free (key);
 }
 
-/* Hands on the batch up to the first part that is not taken; returns how many changes were. */
+/* Proposes the batch until a part fails; returns how many changes were proposed. */
 static guint
 lc_distributor__send_batch (LcDistributor *d, const GArray *batch)
 {
@@ -85,15 +84,15 @@
   lc_timer_hasten (&d->batch_timer, (uint32_t)(MAX (due_us - now_us, 0) / LC_US_PER_MS));
 }
 
-/* A loss is not kept: who was lost may speak again before there is a leader, and its watchers
- * repeat it if not. */
+/* Losses are not retried: a lost member may renew before there is a leader, and its watchers
+ * repeat the report if not. */
 static bool
 lc_distributor__may_wait (const LcMemberChange *change)
 {
   return change->kind != LC_MEMBER_ENDPOINT_LOST && change->kind != LC_MEMBER_BALANCER_LOST;
 }
 
-/* What was not taken is tried again with the next batch, for a while and up to a number. */
+/* Puts what was not proposed into the next batch, for a limited time and number. */
 static void
 lc_distributor__keep_rest (LcDistributor *d, const GArray *batch, guint from, int64_t now_us)
 {
@@ -139,8 +138,8 @@
 
 /* === shared ================================================================================= */
 
-/* The same transition comes from two watchers, and again until the view shows it: one proposal is
- * on its way at a time. */
+/* Two watchers report the same change, and repeat it until the view shows it: only one proposal is
+ * pending at a time. */
 void
 lc_distributor__propose (LcDistributor *d, const LcMemberChange *change, int64_t now_us)
 {
@@ -160,7 +159,7 @@
   g_hash_table_replace (d->pending, key, at_us);
 }
 
-/* === private: what is not proposed ========================================================== */
+/* === private: changes not proposed ========================================================== */
 
 static gboolean
 lc_distributor__is_old (gpointer key, gpointer value, gpointer user)
@@ -170,7 +169,7 @@
 }
 
 /* An endpoint of a service or data centre that no operator has opened is not proposed: it would
- * change nothing and be reported again every second. */
+ * change nothing and be reported every second. */
 static bool
 lc_distributor__has_place (const LcDistributor *d, const LcMemberChange *change)
 {
--- a/src/control/lc-distributor.c
+++ b/src/control/lc-distributor.c
@@ -10,14 +10,14 @@
 enum
 {
   LC_DISTRIBUTOR_TICK_MS = 100,
-  LC_DISTRIBUTOR_SOON_MS = 2, /* announcements that come together are looked at together */
+  LC_DISTRIBUTOR_SOON_MS = 2, /* gathers announcements for one pass */
   LC_DISTRIBUTOR_SEED_MS = 500,
   LC_DISTRIBUTOR_SUSPECTS = 64,
-  LC_DISTRIBUTOR_FOLLOWER_REPORTS = 3, /* a follower steps in when the leader seems not to hear */
+  LC_DISTRIBUTOR_FOLLOWER_REPORTS = 3, /* without effect, before a follower proposes */
   LC_DISTRIBUTOR_LOGS_PER_S = 2,
 };
 
-/* === private: balancers speak =============================================================== */
+/* === private: members' frames ============================================================== */
 
 static int64_t
 lc_distributor__age_us (const LcDistributor *d, int64_t now_us)
@@ -97,7 +97,7 @@
     }
   if (change.kind == LC_MEMBER_ENDPOINT_ANNOUNCED)
     {
-      /* An agent that looks for balancers: it gets its view here, and its lease from them. */
+      /* An agent without a balancer: it gets its view here, and its lease from balancers. */
       lc_distributor__send_status (d, link, false, now_us);
       return;
     }
@@ -164,7 +164,7 @@
     }
 }
 
-/* Direct balancers of the view that have not spoken here yet get a lease to live up to. */
+/* Grants a lease to direct balancers of the view that have not sent a hello here. */
 static void
 lc_distributor__seed (LcDistributor *d, int64_t now_us)
 {
@@ -192,8 +192,8 @@
   return b == NULL || lc_relays_is_direct (d->desc.view, b);
 }
 
-/* A follower lets the leader speak first, and never says that somebody is lost: the leader hears
- * every balancer itself. */
+/* A follower proposes only what the leader did not after several reports, and never a loss: the
+ * leader has a link to every balancer. */
 static void
 lc_distributor__on_missing (void *user, const LcMemberChange *change)
 {
@@ -201,7 +201,7 @@
   const LcLease *lease =
       lc_lease_find (&c->distributor->watch.leases, lc_member_change_name (change));
 
-  /* A balancer that has gone over to relays is theirs to watch. */
+  /* A balancer that moved to relays holds its lease there. */
   if (change->kind == LC_MEMBER_BALANCER_LOST &&
       !lc_distributor__is_direct (c->distributor, change->balancer.name))
     return;
@@ -225,9 +225,9 @@
   lc_metric_set (d->sent_gauge, (int64_t)d->server.bytes_total);
 }
 
-/* A new leader has heard balancers while it followed, but may have been cut off itself: leases
- * start anew with its term.  What the view lacked was collected, but proposed by nobody, while
- * there was no leader: it is collected again, at once. */
+/* A new leader may have been cut off from balancers as a follower: it renews all leases.  Changes
+ * missing in the view that were collected without a leader were not proposed: they are collected
+ * again at once. */
 static void
 lc_distributor__note_role (LcDistributor *d, bool is_leader, int64_t now_us)
 {
@@ -247,7 +247,7 @@
   d->was_leader = is_leader;
 }
 
-/* === private: time ========================================================================== */
+/* === private: tick ========================================================================== */
 
 static void
 lc_distributor__on_tick (void *user)
--- a/src/control/lc-distributor.h
+++ b/src/control/lc-distributor.h
@@ -1,20 +1,24 @@
-/* lc-distributor: control's side of distribution and membership.
+/* lc-distributor: membership service and view publisher of a control VM.
  *
  * WHAT IT IS
- *   Serves the view to balancers (snapshot, then deltas), folds their acknowledgements into "in
- *   force" a data centre, receives membership transitions from watchers, and keeps the leases of
- *   balancers.  It runs on every control VM; what it learns is proposed through `propose`, which
- *   on a follower forwards to the leader.  Balancers keep a link to every control VM, so each of
- *   them folds all acknowledgements and holds all leases; only the leader acts on a lost lease and
- *   proposes what has settled.
+ *   Serves the view to balancers (a snapshot, then deltas), aggregates their acknowledgements into
+ *   the revision in force per data centre, receives membership changes from watchers, and holds
+ *   the leases of balancers.  Changes go to the log through `propose`, which a follower forwards
+ *   to the leader.  It runs on every control VM.  Balancers keep a link to each of them, so each
+ *   holds all acknowledgements and leases; only the leader acts on an expired lease and proposes
+ *   the settled revision.
  *
  * HOW TO USE IT
  *     distributor = lc_distributor_new (&desc, &error);
  *     lc_distributor_publish (distributor, ops, n_ops);   after each applied batch
  *     lc_distributor_reset (distributor);                 after a snapshot was loaded
- *     lc_distributor_frame (distributor, link, frame);           frames 100..199 of the peer server
+ *     lc_distributor_frame (distributor, link, frame);    frames 100..199 of the peer server
+ *     lc_distributor_link_down (distributor, link);       when a link of the peer server closes
  *     lc_distributor_free (distributor);
  *
+ * LIFETIME
+ *   Links, `view` and app must outlive the distributor.
+ *
  * THREADS
  *   Everything on app->loop's thread.
  */
@@ -27,38 +31,36 @@
 typedef struct
 {
   LcApp *app;
-  const LcView *view; /* control's own, always the newest applied */
+  const LcView *view; /* of the applied state */
   uint32_t lease_ms;  /* of balancers; 0: 3000 */
   void *user;
-  /* Changes that came together, LC_MEMBER_CHANGES_MAX at most, to be one entry of the log.  0 when
-   * taken (committed later, or forwarded), negative when they can't be taken now: the distributor
-   * tries again. */
+  /* Proposes at most LC_MEMBER_CHANGES_MAX changes as one log entry.  0: proposed or forwarded;
+   * negative: not possible now, the distributor tries again. */
   int (*propose) (void *user, const LcMemberChange *changes, uint32_t n);
   bool (*is_leader) (void *user);
-  /* Microseconds since this VM last knew of a leader backed by a quorum: 0 on that leader, -1 when
-   * it never did.  NULL: 0 on the leader, and on a follower the time since it last was one or
-   * started (so subscribers see that nobody vouches).  */
+  /* Microseconds since the last contact with a leader that has a quorum: 0 on that leader, -1: none
+   * yet.  NULL: 0 on the leader, and on a follower the time since it led or started, so that
+   * subscribers see that no leader confirms the view. */
   int64_t (*leader_age_us) (void *user);
-  /* Whether this VM belongs to no cluster, and knows who does: members go on to those.  NULL: no.
-   */
+  /* Whether this VM is a standby, so that its subscribers turn to the members.  NULL: no. */
   bool (*stands_by) (void *user);
-  /* Where the control VMs are; returns how many.  NULL: nobody is told. */
+  /* Addresses of the control VMs, sent to subscribers; returns how many.  NULL: none. */
   uint32_t (*control) (void *user, LcSocketAddress *out, uint32_t max);
 } LcDistributorDesc;
 
-/* What is known of one data centre, for `lychee status` and `confirm --wait`. */
+/* One data centre, for `lychee status` and `confirm --wait`. */
 typedef struct
 {
   LcDcId dc;
   char name[LC_NAME_MAX];
-  LcRevision in_force_revision; /* every live node of the data centre has applied it */
+  LcRevision in_force_revision; /* applied by every live balancer and agent */
   uint32_t n_balancers;
   uint32_t n_agents;
-  uint32_t n_behind;     /* nodes below the newest revision */
-  int64_t silent_for_us; /* since its last acknowledgement; -1: never heard */
+  uint32_t n_behind;     /* balancers and agents below the newest revision */
+  int64_t silent_for_us; /* since its last acknowledgement; -1: none yet */
 } LcDcStatus;
 
-/* What the guard does, for status. */
+/* State of the loss guard, for `lychee status`. */
 typedef struct
 {
   bool is_holding;
@@ -74,7 +76,7 @@
 void lc_distributor_publish (LcDistributor *distributor, const LcViewOp *ops, size_t n_ops);
 /* The view was replaced by a snapshot: subscribers get one too. */
 void lc_distributor_reset (LcDistributor *distributor);
-/* What this VM says of itself has changed: members that wait for a view hear it now. */
+/* After a change of `stands_by` or `control`: sends the new status to members without a view. */
 void lc_distributor_tell_waiting (LcDistributor *distributor);
 void lc_distributor_frame (LcDistributor *distributor, LcLink *link, const LcFrame *frame);
 void lc_distributor_link_down (LcDistributor *distributor, LcLink *link);
--- a/src/control/lc-replica-form.c
+++ b/src/control/lc-replica-form.c
@@ -67,7 +67,8 @@
           continue;
         }
       peer = lc_replica__peer (replica, s->members[i].ipv4, s->members[i].port);
-      if (peer == NULL || peer->received_us == 0 || peer->cluster != 0 || peer->received_us < oldest_us)
+      if (peer == NULL || peer->received_us == 0 || peer->cluster != 0 ||
+          peer->received_us < oldest_us)
         return false;
       if (peer->has_no_disk)
         n_without_disk++;
@@ -78,7 +79,7 @@
          lc_raft_config_find (config, replica->id) != NULL;
 }
 
-/* A peer in a cluster, best one whose first members include this replica; or NULL. */
+/* A peer in a cluster, if possible one that lists this replica as a first member; or NULL. */
 static const LcReplicaPeer *
 lc_replica__formed_peer (LcReplica *replica)
 {
--- a/src/control/lc-replica-standby.c
+++ b/src/control/lc-replica-standby.c
@@ -50,8 +50,8 @@
   LcHealSelf self = { .id = replica->id,
                       .members = &raft->config,
                       .members_index = lc_raft_config_as_of (raft),
-                      .silent_us =
-                          silence_us >= 0 ? silence_us : lc_replica__now_us () - replica->formed_us };
+                      .silent_us = silence_us >= 0 ? silence_us
+                                                   : lc_replica__now_us () - replica->formed_us };
 
   return replica->is_formed && peer->cluster == replica->cluster && reported->members_index > 0 &&
          lc_heal_is_removed (&self, &reported->members, reported->members_index - 1);
@@ -109,9 +109,10 @@
 static void
 lc_replica__end_membership (LcReplica *replica)
 {
-  LC_WARN ("control.removed", "replica", LC_U64 (replica->id), "meaning",
-           LC_STR ("the cluster has removed this VM: it empties its data folder and becomes a standby "
-                   "under a new id"));
+  LC_WARN (
+      "control.removed", "replica", LC_U64 (replica->id), "meaning",
+      LC_STR ("the cluster has removed this VM: it empties its data folder and becomes a standby "
+              "under a new id"));
   lc_store_task_finish (&replica->task);
   lc_raft_finish (&replica->raft);
   memset (&replica->raft, 0, sizeof replica->raft);
--- a/src/control/lc-replica.h
+++ b/src/control/lc-replica.h
@@ -28,6 +28,9 @@
  *   without a disk stays a standby.  A replica that its cluster removed, say while it was frozen,
  *   empties its folder as soon as a reply shows it, and is a standby under a new id.
  *
+ * LIFETIME
+ *   The caller owns the struct; app and settings outlive it.
+ *
  * THREADS
  *   Everything on app->loop's thread; the disk has its own (lc-store-task).
  *
@@ -126,9 +129,9 @@
   LcReplicaMetrics metrics;
   LcLogLimit log_limit;
   LcReplicaLearned reported; /* while it is in no cluster */
-  bool is_removed;          /* by its cluster: it starts over at the next tick */
-  uint64_t snapshot_index;  /* newest saved or being saved */
-  uint64_t log_bytes;       /* applied since then */
+  bool is_removed;           /* by its cluster: it starts over at the next tick */
+  uint64_t snapshot_index;   /* newest saved or being saved */
+  uint64_t log_bytes;        /* applied since then */
   bool is_snapshotting;
   LcReplicaId logged_leader; /* as of the last log line */
   uint64_t logged_term;
--- a/src/control/lc-store-task.c
+++ b/src/control/lc-store-task.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  LC_STORE_RETRY_MS = 500, /* between tries while the disk is full */
+  LC_STORE_RETRY_MS = 500, /* while the disk is full */
 };
 
 typedef enum
@@ -49,7 +49,7 @@
   h2o_multithread_send_message (&task->receiver, &message->super);
 }
 
-/* Waits before the next try; false when the task is to stop. */
+/* Waits before the next attempt; false when the task is stopping. */
 static bool
 lc_store_task__pause (LcStoreTask *task)
 {
@@ -124,7 +124,7 @@
   g_free (message);
 }
 
-/* Unlinks all that have arrived, in order. */
+/* Takes all messages off the list, in order. */
 static GPtrArray *
 lc_store_task__collect (h2o_linklist_t *messages)
 {
@@ -164,7 +164,7 @@
   task->thread = g_thread_new ("lc-store", lc_store_task__run, task);
 }
 
-/* Reports that were not delivered any more are freed: nothing was acknowledged by them. */
+/* Reports that were not delivered are freed: the replica has acknowledged none of these writes. */
 void
 lc_store_task_finish (LcStoreTask *task)
 {
--- a/src/control/lc-store-task.h
+++ b/src/control/lc-store-task.h
@@ -1,18 +1,17 @@
-/* lc-store-task: the thread that owns the data folder, so that the event loop never waits for a
- * disk.
+/* lc-store-task: a thread that writes the log and snapshots, so that the event loop never waits for
+ * a disk.
  *
  * WHAT IT IS
  *   Takes writes and snapshots in order, carries them out with lc-store, and reports each on the
- *   event loop.  While one write is under way the replica gathers the next: that is the group
- *   commit.
+ *   event loop.  While a write is under way the replica gathers the next one (group commit).
  *
  * HOW TO USE IT
  *     lc_store_task_init (&task, &desc);
- *     lc_store_task_write (&task, &persist);       takes the persist over
- *     lc_store_task_snapshot (&task, &snapshot);   takes the snapshot over
- *     lc_store_task_finish (&task);                waits for what is under way
- *   `done` is called on the loop for each, and once before for a write that waits for space: then
- *   `is_final` is false and the task tries again by itself every half second.
+ *     lc_store_task_write (&task, &persist);       takes ownership of its contents
+ *     lc_store_task_snapshot (&task, &snapshot);   likewise
+ *     lc_store_task_finish (&task);                waits for what is under way and queued
+ *   `done` is called on the loop for each job, and also for each attempt that found the disk full:
+ *   then `is_final` is false and the task retries it every half second.
  *
  * THREADS
  *   The store belongs to the task's thread between init and finish.
@@ -30,11 +29,11 @@
   bool is_snapshot;
   bool is_final;
   uint64_t sequence;       /* of a write */
-  LcRaftSnapshot snapshot; /* of a saved snapshot; valid during the call */
+  LcRaftSnapshot snapshot; /* if is_snapshot; valid during the call */
   int result;
   LcError error;
   int64_t took_us;
-  LcStoreCounters counters; /* as of then */
+  LcStoreCounters counters; /* after the job */
 } LcStoreReport;
 
 typedef struct
--- a/src/control/main.c
+++ b/src/control/main.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  LC_CONTROL_MAX_LINKS = 16384, /* every balancer of all data centres may start at once */
+  LC_CONTROL_MAX_LINKS = 16384, /* all balancers of all data centres may connect */
 };
 
 typedef struct
@@ -143,7 +143,7 @@
   return lc_control_http_is_idle (&p->http) && lc_replica_may_stop (&p->replica);
 }
 
-/* Ready: it can take operators' requests, as leader or by handing them to one. */
+/* Ready: it can propose operators' requests, as leader or by forwarding. */
 static bool
 lc_control__is_ready (void *user)
 {
@@ -153,7 +153,6 @@
          !p->replica.has_disk_full;
 }
 
-/* The settings name other VMs to start from. */
 static void
 lc_control__on_reload (void *user, const void *settings)
 {
