--- a/src/control/lc-store-task.h
+++ b/src/control/lc-store-task.h
@@ -1,5 +1,4 @@
-/* lc-store-task: a thread that writes the log and snapshots, so that the event loop never waits for
- * a disk.
+/* lc-store-task: disk thread for the log and snapshots, so that the event loop never blocks.
  *
  * WHAT IT IS
  *   Takes writes and snapshots in order, carries them out with lc-store, and reports each on the
