--- a/src/control/lc-distributor.c
+++ b/src/control/lc-distributor.c
@@ -38,14 +38,14 @@
   uint64_t control[LC_CONTROL_VMS_MAX];
   uint32_t n_known = 0;
 
-  if (d->desc.control != NULL)
-    n_known = d->desc.control (d->desc.user, known, LC_CONTROL_VMS_MAX);
+  if (d->desc.control_addresses != NULL)
+    n_known = d->desc.control_addresses (d->desc.user, known, LC_CONTROL_VMS_MAX);
   lc_wire_member_control_write (&status, control, known, n_known);
   status.revision = d->desc.view->revision;
   status.is_leader = d->desc.is_leader (d->desc.user);
   status.needs_hello = needs_hello;
   status.is_confirmed = age_us >= 0;
-  status.stands_by = d->desc.stands_by != NULL && d->desc.stands_by (d->desc.user);
+  status.stands_by = d->desc.is_standby != NULL && d->desc.is_standby (d->desc.user);
   status.control_age_ms = age_us >= 0 ? (uint64_t)(age_us / LC_US_PER_MS) : UINT32_MAX;
   lc_view_server_greeted (&d->server, link);
   (void)lc_link_send (link, LC_FRAME_MEMBER_STATUS, &status.base);
--- a/src/control/lc-distributor.h
+++ b/src/control/lc-distributor.h
@@ -43,9 +43,9 @@
    * subscribers see that no leader confirms the view. */
   int64_t (*leader_age_us) (void *user);
   /* Whether this VM is a standby, so that its subscribers turn to the members.  NULL: no. */
-  bool (*stands_by) (void *user);
+  bool (*is_standby) (void *user);
   /* Addresses of the control VMs, sent to subscribers; returns how many.  NULL: none. */
-  uint32_t (*control) (void *user, LcSocketAddress *out, uint32_t max);
+  uint32_t (*control_addresses) (void *user, LcSocketAddress *out, uint32_t max);
 } LcDistributorDesc;
 
 /* One data centre, for `lychee status` and `confirm --wait`. */
@@ -76,7 +76,7 @@
 void lc_distributor_publish (LcDistributor *distributor, const LcViewOp *ops, size_t n_ops);
 /* The view was replaced by a snapshot: subscribers get one too. */
 void lc_distributor_reset (LcDistributor *distributor);
-/* After a change of `stands_by` or `control`: sends the new status to members without a view. */
+/* Sends the status to members without a view, after `is_standby` or the addresses changed. */
 void lc_distributor_tell_waiting (LcDistributor *distributor);
 void lc_distributor_frame (LcDistributor *distributor, LcLink *link, const LcFrame *frame);
 void lc_distributor_link_down (LcDistributor *distributor, LcLink *link);
--- a/src/control/main.c
+++ b/src/control/main.c
@@ -178,8 +178,8 @@
                                     .propose = lc_control__propose,
                                     .is_leader = lc_control__is_leader,
                                     .leader_age_us = lc_control__leader_age_us,
-                                    .stands_by = lc_control__stands_by,
-                                    .control = lc_control__addresses };
+                                    .is_standby = lc_control__stands_by,
+                                    .control_addresses = lc_control__addresses };
   int r = lc_control_http_init (&p->http, &http, error);
 
   if (r == 0)
--- a/tests/member/fake-control.c
+++ b/tests/member/fake-control.c
@@ -179,8 +179,8 @@
                              .user = c,
                              .propose = propose,
                              .is_leader = is_leader,
-                             .stands_by = stands_by,
-                             .control = named_control };
+                             .is_standby = stands_by,
+                             .control_addresses = named_control };
   LcError error = { 0 };
 
   (void)signal (SIGPIPE, SIG_IGN); /* as lc-app does */
