--- a/src/control/lc-codec-private.h
+++ b/src/control/lc-codec-private.h
@@ -31,7 +31,6 @@
   return memory;
 }
 
-/* Allocates `n` pointers to messages. */
 static inline void *
 lc_codec__list (LcArena *arena, size_t n)
 {
--- a/src/control/lc-control-http.c
+++ b/src/control/lc-control-http.c
@@ -25,8 +25,8 @@
 typedef struct LcControlWait
 {
   LcControlHttp *http;
-  h2o_req_t *req;      /* NULL: the client is gone */
-  LcControlSlot *slot; /* valid while `req` is set */
+  h2o_req_t *req;     /* NULL: the client is gone */
+  LcControlSlot *ref; /* valid while `req` is set */
   LcControlCommand command;
   int64_t deadline_us;
   int64_t resend_us;
@@ -99,7 +99,7 @@
 lc_control_http__end_wait (LcControlHttp *http, LcControlWait *wait)
 {
   if (wait->req != NULL)
-    wait->slot->wait = NULL;
+    wait->ref->wait = NULL;
   (void)g_ptr_array_remove_fast (http->waiting, wait);
 }
 
@@ -107,10 +107,10 @@
 static void
 lc_control_http__on_gone (void *memory)
 {
-  LcControlSlot *slot = memory;
+  LcControlSlot *ref = memory;
 
-  if (slot->wait != NULL)
-    slot->wait->req = NULL;
+  if (ref->wait != NULL)
+    ref->wait->req = NULL;
 }
 
 /* A numbered declaration is answered once this number or a higher one is applied here. */
@@ -232,7 +232,7 @@
 lc_control_http__wait (LcControlHttp *http, h2o_req_t *req, LcControlCommand *command)
 {
   LcControlWait *wait = g_new0 (LcControlWait, 1);
-  LcControlSlot *slot = h2o_mem_alloc_shared (&req->pool, sizeof *slot, lc_control_http__on_gone);
+  LcControlSlot *ref = h2o_mem_alloc_shared (&req->pool, sizeof *ref, lc_control_http__on_gone);
   int64_t now_us = lc_clock_now_us ();
 
   wait->http = http;
@@ -240,8 +240,8 @@
   wait->command = *command;
   wait->deadline_us = now_us + (int64_t)http->desc.settings->request_timeout_ms * LC_US_PER_MS;
   wait->resend_us = now_us + LC_CONTROL_HTTP_RESEND_US;
-  wait->slot = slot;
-  slot->wait = wait;
+  wait->ref = ref;
+  ref->wait = wait;
   g_ptr_array_add (http->waiting, wait);
   if (lc_control_http__try_answer (http, wait))
     {
@@ -371,7 +371,7 @@
   lc_control_http__fail (http, req, &error);
 }
 
-/* Returns whether it was a call of the platform. */
+/* False: it is no call of the platform. */
 static bool
 lc_control_http__platform (LcControlHttp *http, h2o_req_t *req)
 {
--- a/src/control/lc-control-http.h
+++ b/src/control/lc-control-http.h
@@ -14,6 +14,7 @@
  * HOW TO USE IT
  *     lc_control_http_init (&http, &desc, &error);
  *     lc_control_http_applied (&http);          after each applied batch
+ *     lc_control_http_drain (&http);            planned stop: accept no more
  *     lc_control_http_is_idle (&http)           no request waits
  *     lc_control_http_finish (&http);
  *
@@ -39,7 +40,7 @@
 {
   LcControlHttpDesc desc;
   LcHttp http;
-  GPtrArray *waiting; /* LcControlWait, private: requests that wait for their command */
+  GPtrArray *waiting; /* LcControlWait, private */
   LcLogLimit shown_limit;
   LcTimer timer;
   LcMetric *requests_total;
