--- a/src/control/main.c
+++ b/src/control/main.c
@@ -9,7 +9,7 @@
 
 enum
 {
-  LC_CONTROL_MAX_LINKS = 16384, /* every balancer of all data centres may start at once */
+  LC_CONTROL_MAX_LINKS = 16384, /* all balancers of all data centres may connect */
 };
 
 typedef struct
@@ -143,7 +143,7 @@
   return lc_control_http_is_idle (&p->http) && lc_replica_may_stop (&p->replica);
 }
 
-/* Ready: it can take operators' requests, as leader or by handing them to one. */
+/* Ready: it can propose operators' requests, as leader or by forwarding. */
 static bool
 lc_control__is_ready (void *user)
 {
@@ -153,7 +153,6 @@
          !p->replica.has_disk_full;
 }
 
-/* The settings name other VMs to start from. */
 static void
 lc_control__on_reload (void *user, const void *settings)
 {
@@ -179,8 +178,8 @@
                                     .propose = lc_control__propose,
                                     .is_leader = lc_control__is_leader,
                                     .leader_age_us = lc_control__leader_age_us,
-                                    .stands_by = lc_control__stands_by,
-                                    .control = lc_control__addresses };
+                                    .is_standby = lc_control__stands_by,
+                                    .control_addresses = lc_control__addresses };
   int r = lc_control_http_init (&p->http, &http, error);
 
   if (r == 0)
