--- a/tests/fakes/cluster.py
+++ b/tests/fakes/cluster.py
@@ -1,8 +1,7 @@
-"""A few real lychee processes of the request plane on loopback, with a view that the test writes.
+"""Runs real balancers and agents of the request plane on loopback, with a view that the test writes.
 
-The backend servers are small servers in the test's own process, so that a test can hold, cut or
-double what they do and count what ran.  Every wait is on a condition with a long bound; nothing is
-decided by how long something took.
+The backend servers run in the test's process, so that a test can delay, cut or repeat answers and
+count runs.  Waits poll a condition with a long timeout; no result depends on how long a step took.
 """
 import http.client
 import json
@@ -23,13 +22,13 @@
 drawn = set()
 
 
-# Below the range from which the system itself takes ports for outgoing connections and unbound
-# sockets (32768 on): a port drawn there can be taken by any of them before the program binds it.
+# Below the ephemeral range (32768 on), whose ports an outgoing connection or unbound socket can
+# take before the program binds them.
 PORTS = range(10000, 32768)
 
 
 def is_free(ip, port):
-    """For TCP and for UDP."""
+    """Whether the port can be bound for both TCP and UDP."""
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
         with socket.socket(socket.AF_INET, kind) as s:
             try:
@@ -40,7 +39,7 @@
 
 
 def free_port(ip):
-    """A port that is free now and that this process has not drawn before."""
+    """Returns a port that is free and that this process has not returned before."""
     while True:
         port = random.choice(PORTS)
         if (ip, port) not in drawn and is_free(ip, port):
@@ -55,14 +54,14 @@
         if value:
             return value
         time.sleep(0.01)
-    raise AssertionError("never came: " + what)
+    raise AssertionError("timed out after %g s waiting for %s" % (WAIT_S, what))
 
 
 class Backend:
-    """An HTTP/1.1 backend server: counts runs by key and does what `behave` says.
+    """HTTP/1.1 backend server that counts runs by idempotency key.
 
-    behave(backend, key, connection) may hold, cut or answer by itself; returning True means that
-    it has answered.
+    behave(backend, key, connection) may delay, cut or answer a request; it returns True if it has
+    answered.
     """
 
     def __init__(self, ip):
@@ -129,12 +128,12 @@
 
 
 class Proxy:
-    """Stands between balancers and one agent; can cut connections after so many bytes."""
+    """TCP proxy between balancers and one agent; can cut connections after a number of bytes."""
 
     def __init__(self, ip, to):
         self.to = to
-        self.cut_up = None    # bytes towards the agent that still pass; then all is cut, once
-        self.cut_down = None  # the same towards the balancer
+        self.cut_up = None    # bytes to forward to the agent before one cut of all; None: no cut
+        self.cut_down = None  # the same to the balancer
         self.n_cuts = 0
         self.open = []
         self.listener = socket.socket()
@@ -176,7 +175,7 @@
             s.close()
 
     def cut(self):
-        """Cuts every connection that is open now."""
+        """Cuts all open connections."""
         for s in self.open:
             try:
                 s.shutdown(socket.SHUT_RDWR)
@@ -213,7 +212,8 @@
 
     def _instance(self):
         if self.popen.poll() is not None:
-            raise AssertionError(self.name + " ended: " + self.read_log())
+            raise AssertionError("%s exited with code %d: %s"
+                                 % (self.name, self.popen.returncode, self.read_log()))
         try:
             with open(self.announce) as f:
                 text = f.read()
@@ -226,7 +226,7 @@
             return f.read()[-2000:]
 
     def events(self, name):
-        """All log lines of one event."""
+        """Returns all log lines of one event."""
         with open(os.path.join(self.cluster.dir, self.name + ".log"), errors="replace") as f:
             lines = [json.loads(line) for line in f if line.startswith("{") and line.endswith("}\n")]
         return [line for line in lines if line["event"] == name]
@@ -243,7 +243,7 @@
         self.popen.wait()
 
     def stop(self):
-        """A planned stop; returns the exit code."""
+        """Sends SIGTERM; returns the exit code."""
         self.popen.terminate()
         return self.popen.wait(WAIT_S)
 
@@ -319,7 +319,7 @@
             i + 1, a.instance, state, a.ip, a.settings["peer_port"], self.slots, a.name)
 
     def seen_by(self, process, line):
-        """Balancers reach the agents through the proxies, where there are any."""
+        """Returns the line as the process gets it: to balancers, an agent has its proxy's port."""
         for agent, proxy in zip(self.agents, self.proxies):
             if process.kind == "balancer":
                 line = line.replace(" %s %d " % (agent.ip, agent.settings["peer_port"]),
@@ -327,14 +327,14 @@
         return line
 
     def publish(self, text, to=None):
-        """Commits one operation and shows it to all processes that run, or to some."""
+        """Appends an operation to the view of all running processes, or of those in `to`."""
         line = self.note(text)
         for p in self.agents + self.balancers if to is None else to:
             if p.popen.poll() is None:
                 p.append([self.seen_by(p, line)])
 
     def restart(self, i):
-        """A new start of agent i with the whole view, not announced yet."""
+        """Starts agent i again with the whole view, without publishing its new instance."""
         self.agents[i].start(self.lines)
 
     def request(self, balancer, method, path, key=None, body=b"", headers=None, timeout=WAIT_S):
--- a/tests/fakes/lc-fake-check.c
+++ b/tests/fakes/lc-fake-check.c
@@ -4,7 +4,7 @@
 
 #include <xxhash.h>
 
-/* === what must always hold ========================================================= */
+/* === private: invariants ==================================================================== */
 
 static void
 lc_fake__add_digest (void *user, const LcViewOp *op)
@@ -21,7 +21,7 @@
   len = protobuf_c_message_get_packed_size (&one.ops[0]->base);
   bytes = g_malloc (len + 1);
   (void)protobuf_c_message_pack (&one.ops[0]->base, bytes);
-  /* The order of hash tables differs between members: the sum doesn't. */
+  /* A sum, because the iteration order of hash tables differs between members. */
   *sum += XXH3_64bits (bytes, len);
   g_free (bytes);
   lc_wire_view_ops_finish (&one);
@@ -32,7 +32,7 @@
 {
   gpointer key = GUINT_TO_POINTER ((guint)n->state.applied);
   uint64_t digest = n->state.view.revision;
-  uint64_t *known;
+  uint64_t *expected;
 
   if (n->state.view.revision < n->seen_revision)
     c->verdict.reverted++;
@@ -40,10 +40,10 @@
   if (n->state.applied % LC_FAKE_DIGEST_EVERY != 0)
     return;
   lc_view_snapshot (&n->state.view, lc_fake__add_digest, &digest);
-  known = g_hash_table_lookup (c->digests, key);
-  if (known != NULL && *known != digest)
+  expected = g_hash_table_lookup (c->digests, key);
+  if (expected != NULL && *expected != digest)
     c->verdict.reverted++;
-  if (known == NULL)
+  if (expected == NULL)
     g_hash_table_insert (c->digests, key, g_memdup2 (&digest, sizeof digest));
 }
 
@@ -54,14 +54,14 @@
   gsize len = 0;
   const guint8 *data = e->data != NULL ? g_bytes_get_data (e->data, &len) : NULL;
   uint64_t hash = XXH3_64bits_withSeed (data, len, e->term * 4 + e->kind);
-  uint64_t *known = g_hash_table_lookup (c->committed, key);
+  uint64_t *expected = g_hash_table_lookup (c->committed, key);
 
-  if (known == NULL)
+  if (expected == NULL)
     {
       g_hash_table_insert (c->committed, key, g_memdup2 (&hash, sizeof hash));
       c->verdict.n_commits++;
     }
-  else if (*known != hash)
+  else if (*expected != hash)
     c->verdict.lost_commits++;
 }
 
@@ -69,21 +69,21 @@
 lc_fake__check_leader (LcFakeCluster *c, const LcFakeNode *n)
 {
   gpointer key = GUINT_TO_POINTER ((guint)n->raft.term);
-  LcReplicaId *known;
+  LcReplicaId *expected;
 
   if (!lc_raft_is_leader (&n->raft))
     return;
-  known = g_hash_table_lookup (c->leaders, key);
-  if (known == NULL)
+  expected = g_hash_table_lookup (c->leaders, key);
+  if (expected == NULL)
     g_hash_table_insert (c->leaders, key, g_memdup2 (&n->id, sizeof n->id));
-  else if (*known != n->id)
+  else if (*expected != n->id)
     {
       c->verdict.two_leaders++;
-      *known = n->id;
+      *expected = n->id;
     }
 }
 
-/* A read under the lease must show every commit that any client has heard of. */
+/* A lease read must include every commit that an operator has an answer from. */
 void
 lc_fake__check_read (LcFakeCluster *c, LcFakeNode *n)
 {
--- a/tests/fakes/lc-fake-cluster.c
+++ b/tests/fakes/lc-fake-cluster.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-/* === private: chance and events ============================================================= */
+/* === private: random numbers, event queue =================================================== */
 
 uint64_t
 lc_fake_cluster_random (LcFakeCluster *c, uint64_t below)
@@ -27,7 +27,7 @@
 
   if (x->at_us != y->at_us)
     return x->at_us < y->at_us ? -1 : 1;
-  return x->order < y->order ? -1 : x->order > y->order;
+  return x->sequence < y->sequence ? -1 : x->sequence > y->sequence;
 }
 
 static void
@@ -47,7 +47,7 @@
   LcFakeEvent *event = g_new0 (LcFakeEvent, 1);
 
   event->at_us = at_us;
-  event->order = ++c->order;
+  event->sequence = ++c->sequence;
   event->kind = kind;
   event->node = node;
   event->epoch = kind == LC_FAKE_OPERATOR || kind == LC_FAKE_LEADER_STEP ? 0 : c->nodes[node].epoch;
@@ -139,7 +139,7 @@
 
   if (!n->is_up)
     return;
-  /* A write that was under way reached the disk in part, and was never confirmed. */
+  /* A pending write reaches the disk in part and is never acknowledged. */
   if (n->is_writing)
     {
       n->disk->syncs_left = (int64_t)lc_fake_cluster_random (c, 4);
@@ -247,13 +247,13 @@
 void
 lc_fake_cluster_step_clock (LcFakeCluster *c, uint32_t node, int64_t by_us)
 {
-  /* A clock that goes back while its VM stands still looks as if no time had passed; no lease can
-   * bear that, and CLOCK_BOOTTIME never does it. */
+  /* Setting a paused VM's clock back would hide the pause and so break every lease;
+   * CLOCK_BOOTTIME never goes back. */
   if (by_us > 0 || c->nodes[node].paused_until_us <= c->now_us)
     c->nodes[node].clock_offset_us += by_us;
 }
 
-/* An empty folder gets its id and cluster, as at a first start. */
+/* Formats an empty data folder, as a first start does. */
 static void
 lc_fake__make_node (LcFakeCluster *c, uint32_t node, bool is_founder)
 {
@@ -281,9 +281,9 @@
   lc_fake_cluster_crash (c, node);
   c->nodes[node].is_gone = true;
   c->replaced = (int)node;
-  c->newcomer = (int)c->n_nodes++;
-  lc_fake__make_node (c, (uint32_t)c->newcomer, false);
-  (void)lc_fake_cluster_start (c, (uint32_t)c->newcomer);
+  c->replacement = (int)c->n_nodes++;
+  lc_fake__make_node (c, (uint32_t)c->replacement, false);
+  (void)lc_fake_cluster_start (c, (uint32_t)c->replacement);
 }
 
 bool
@@ -304,7 +304,7 @@
   c->desc.loss_percent = loss_percent;
 }
 
-/* === questions ============================================================================== */
+/* === queries ================================================================================ */
 
 int64_t
 lc_fake_cluster_now_us (const LcFakeCluster *c)
@@ -399,7 +399,7 @@
   return c->commit_us;
 }
 
-/* A plan must be confirmed at most once in the history. */
+/* Counts the plans that the audit history confirms more than once. */
 static void
 lc_fake__check_history (LcFakeCluster *c, const LcControlState *state)
 {
@@ -427,13 +427,13 @@
   for (uint32_t i = 0; i < c->n_nodes; i++)
     {
       LcFakeNode *n = &c->nodes[i];
-      const LcControlAnswer *oldest; /* older ones are forgotten on purpose */
+      const LcControlAnswer *oldest; /* older answers have been evicted */
 
       if (n->is_gone || !n->is_up)
         continue;
       lc_fake__check_history (c, &n->state);
       if (n->raft.applied_index < c->acknowledged)
-        continue; /* far behind: what it will apply is checked entry by entry */
+        continue; /* lags; check_entry checks the rest as it is applied */
       oldest =
           n->state.answer_order.length < LC_CONTROL_ANSWERS_MAX
               ? NULL
@@ -473,7 +473,7 @@
   d->sync_max_us = MAX (d->sync_max_us, d->sync_min_us);
 }
 
-/* A market with endpoints, so that there is something to drain. */
+/* Declares a data centre and a service, so that there are endpoints to drain. */
 static void
 lc_fake__open_market (LcFakeCluster *c)
 {
--- a/tests/fakes/lc-fake-disk.c
+++ b/tests/fakes/lc-fake-disk.c
@@ -7,11 +7,10 @@
   LC_FAKE_SECTOR = 512,
 };
 
-/* A file's bytes as written, and as of its last sync. */
 typedef struct
 {
-  GByteArray *present;
-  GByteArray *durable;
+  GByteArray *present; /* as written */
+  GByteArray *durable; /* as of the last sync */
   int n_refs;
 } LcFakeFile;
 
@@ -61,7 +60,7 @@
   g_byte_array_append (to, from->data, from->len);
 }
 
-/* === the interface ========================================================================== */
+/* === LcDisk calls =========================================================================== */
 
 static int
 lc_fake__list (void *user, GPtrArray *names, LcError *error)
@@ -82,7 +81,8 @@
   LcFakeFile *file = g_hash_table_lookup (fake->present, name);
 
   if (file == NULL)
-    (void)lc_error_set (error, LC_ERR_NOT_FOUND, "make it first", "%s is not there", name);
+    (void)lc_error_set (error, LC_ERR_NOT_FOUND, "create the file first", "file %s does not exist",
+                        name);
   return file;
 }
 
@@ -116,7 +116,8 @@
   if (fake->bytes_left >= 0)
     fake->bytes_left -= (int64_t)n;
   if (n < len)
-    return lc_error_set (error, LC_ERR_FULL, "free space", "no space left for %s", name);
+    return lc_error_set (error, LC_ERR_FULL, "raise bytes_left", "no space left to append to %s",
+                         name);
   return 0;
 }
 
@@ -152,7 +153,7 @@
   if (file == NULL)
     return LC_ERR_NOT_FOUND;
   if (!lc_fake__may_sync (fake))
-    return lc_error_set (error, LC_ERR_IO, "look at the disk", "sync of %s failed", name);
+    return lc_error_set (error, LC_ERR_IO, "raise syncs_left", "sync of file %s failed", name);
   lc_fake__set (file->durable, file->present);
   return 0;
 }
@@ -200,14 +201,14 @@
   LcFakeDisk *fake = user;
 
   if (!lc_fake__may_sync (fake))
-    return lc_error_set (error, LC_ERR_IO, "look at the disk", "sync of the folder failed");
+    return lc_error_set (error, LC_ERR_IO, "raise syncs_left", "sync of the folder failed");
   lc_fake__copy_names (fake->durable, fake->present);
   return 0;
 }
 
 /* === crash ================================================================================== */
 
-/* Of the bytes after the synced ones, each sector is kept or zeroed, and the end cut anywhere. */
+/* Cuts the unsynced bytes at a random place and zeroes random sectors of them. */
 static void
 lc_fake__tear (LcFakeDisk *fake, LcFakeFile *file)
 {
@@ -228,7 +229,7 @@
   lc_fake__set (file->durable, file->present);
 }
 
-/* A name that changed since the folder was synced is as before or as after. */
+/* Keeps or reverts each change of a name since the last sync_folder. */
 static void
 lc_fake__settle_names (LcFakeDisk *fake)
 {
--- a/tests/fakes/lc-fake-disk.h
+++ b/tests/fakes/lc-fake-disk.h
@@ -1,19 +1,19 @@
-/* lc-fake-disk: a data folder in memory that loses, tears and reorders what was not synced.
+/* lc-fake-disk: an in-memory LcDisk whose crash loses or tears what was not synced.
  *
  * HOW TO USE IT
  *     LcFakeDisk *fake = lc_fake_disk_new (seed);
  *     LcDisk disk = lc_fake_disk_interface (fake);
- *     lc_fake_disk_crash (fake);     what was synced stays; of the rest any part may
+ *     lc_fake_disk_crash (fake);     keeps what was synced, and a random part of the rest
  *     lc_fake_disk_free (fake);
  *
  * CRASH
- *   Each 512-byte sector of unsynced bytes is kept, lost (zeros) or cut off; each directory change
- *   since the last sync of the folder is kept or lost by itself.
+ *   Each 512-byte sector of unsynced bytes is kept, zeroed or cut off; each change of a name
+ *   since the last sync_folder is independently kept or lost.
  *
  * FAULTS
- *   bytes_left: appends beyond it fail with LC_ERR_FULL after writing a part.
- *   syncs_left: after so many syncs every further one fails with LC_ERR_IO and does nothing, as
- *   when the device fails, or the process is about to crash in the middle of a write.
+ *   bytes_left: an append beyond it writes the part that fits and fails with LC_ERR_FULL.
+ *   syncs_left: after so many, a sync does nothing and fails with LC_ERR_IO, as on a failed device
+ *   or before a crash in the middle of a write.
  */
 #ifndef LC_FAKE_DISK_H
 #define LC_FAKE_DISK_H
@@ -27,8 +27,8 @@
 
   typedef struct
   {
-    GHashTable *durable; /* name -> private file */
-    GHashTable *present; /* name -> private file */
+    GHashTable *durable; /* name -> file, as of the last sync_folder */
+    GHashTable *present; /* name -> file, as the process sees it */
     uint64_t random;
     int64_t bytes_left; /* -1: no limit */
     int64_t syncs_left; /* -1: no limit */
@@ -40,7 +40,7 @@
   void lc_fake_disk_free (LcFakeDisk *fake);
   LcDisk lc_fake_disk_interface (LcFakeDisk *fake);
   void lc_fake_disk_crash (LcFakeDisk *fake);
-  /* The synced bytes of a file, to damage them; NULL when there is none. */
+  /* A file's bytes, for a test to damage; NULL if there is no such file. */
   GByteArray *lc_fake_disk_bytes (LcFakeDisk *fake, const char *name);
   /* The newest segment of the log, or NULL. */
   const char *lc_fake_disk_newest_segment (LcFakeDisk *fake);
--- a/tests/fakes/lc-fake-member.c
+++ b/tests/fakes/lc-fake-member.c
@@ -169,7 +169,7 @@
 lc_fake__maybe_step_clock (LcFakeCluster *c, LcFakeNode *n)
 {
   if (!c->desc.steps_clocks || c->now_us < n->next_step_us)
-    return; /* not more than one step within a lease */
+    return; /* at most one step per lease */
   n->next_step_us = c->now_us + lc_fake__between (c, 600000, 5000000);
   n->clock_offset_us += lc_fake__between (c, -400000, 3000000);
 }
@@ -178,14 +178,14 @@
 lc_fake__on_tick (LcFakeCluster *c, LcFakeNode *n)
 {
   lc_fake__schedule (c, c->now_us + LC_FAKE_TICK_US, LC_FAKE_TICK, (uint32_t)(n - c->nodes), NULL);
-  /* Before anything else, as after a pause: what would a read show now? */
+  /* First, since a read right after a pause comes before any tick. */
   lc_fake__check_read (c, n);
   lc_fake__maybe_step_clock (c, n);
   lc_raft_tick (&n->raft, lc_fake__clock (c, n));
   lc_fake__pump (c, n);
 }
 
-/* Hands a command to the node: it proposes, or forwards to the leader it knows. */
+/* Proposes a command if the node leads; otherwise forwards it to the leader, if known. */
 void
 lc_fake__propose (LcFakeCluster *c, uint32_t node, GBytes *bytes, bool may_forward)
 {
--- a/tests/fakes/lc-fake-operators.c
+++ b/tests/fakes/lc-fake-operators.c
@@ -64,7 +64,7 @@
                     (unsigned)lc_fake_cluster_random (c, c->desc.n_endpoints));
 }
 
-/* Membership goes on all the time beside the operators. */
+/* Proposes a random membership change beside the operators' plans. */
 static void
 lc_fake__member_change (LcFakeCluster *c, uint32_t node)
 {
@@ -102,7 +102,7 @@
   return -1;
 }
 
-/* Whether the asked node has the answer. */
+/* Takes the answer from the node; false if it has none. */
 static bool
 lc_fake__look (LcFakeCluster *c, LcFakeOperator *o, uint32_t node)
 {
@@ -192,10 +192,10 @@
   lc_fake__schedule (c, c->now_us + 100000, LC_FAKE_LEADER_STEP, 0, NULL);
   if (leader == NULL || c->replaced < 0 || leader->paused_until_us > c->now_us)
     return;
-  if (lc_raft_config_find (&leader->raft.config, c->nodes[c->newcomer].id) == NULL)
-    lc_fake__change (c, leader, LC_RAFT_ADD_LEARNER, &c->nodes[c->newcomer]);
-  else if (!lc_raft_config_is_voter (&leader->raft.config, c->nodes[c->newcomer].id))
-    lc_fake__change (c, leader, LC_RAFT_PROMOTE, &c->nodes[c->newcomer]);
+  if (lc_raft_config_find (&leader->raft.config, c->nodes[c->replacement].id) == NULL)
+    lc_fake__change (c, leader, LC_RAFT_ADD_LEARNER, &c->nodes[c->replacement]);
+  else if (!lc_raft_config_is_voter (&leader->raft.config, c->nodes[c->replacement].id))
+    lc_fake__change (c, leader, LC_RAFT_PROMOTE, &c->nodes[c->replacement]);
   else if (lc_raft_config_find (&leader->raft.config, c->nodes[c->replaced].id) != NULL)
     lc_fake__change (c, leader, LC_RAFT_REMOVE, &c->nodes[c->replaced]);
   else if (leader->raft.config_index <= leader->raft.commit_index)
--- a/tests/fakes/lc-fake-private.h
+++ b/tests/fakes/lc-fake-private.h
@@ -1,9 +1,9 @@
-/* lc-fake-private: what the parts of lc-fake-cluster share.
+/* lc-fake-private: what the sources of lc-fake-cluster share.
  *
- *   lc-fake-cluster.c    lifetime, events, faults, questions
- *   lc-fake-member.c     a member: its network, log, disk and clock
- *   lc-fake-check.c      what must always hold
- *   lc-fake-operators.c  operators, member changes, replacing
+ *   lc-fake-cluster.c    lifetime, event queue, faults, queries
+ *   lc-fake-member.c     a member's messages, log, disk and clock
+ *   lc-fake-check.c      invariants
+ *   lc-fake-operators.c  operators' commands, member replacement
  */
 #ifndef LC_FAKE_PRIVATE_H
 #define LC_FAKE_PRIVATE_H
@@ -32,7 +32,7 @@
 typedef struct
 {
   int64_t at_us;
-  uint64_t order;
+  uint64_t sequence;
   LcFakeEventKind kind;
   uint32_t node; /* or operator */
   uint32_t epoch;
@@ -46,7 +46,7 @@
   LcStore store;
   LcRaft raft;
   LcControlState state;
-  uint32_t epoch; /* of this run; events of an earlier run are void */
+  uint32_t epoch; /* rises at a crash; events of earlier ones are void */
   bool is_up;
   bool is_gone; /* its disk is lost for good */
   bool is_writing;
@@ -74,7 +74,7 @@
 {
   LcFakeClusterDesc desc;
   GSequence *events;
-  uint64_t order;
+  uint64_t sequence;
   uint64_t random;
   int64_t now_us;
   LcFakeNode nodes[LC_FAKE_NODES_MAX];
@@ -85,10 +85,10 @@
   GHashTable *leaders;   /* term -> replica id */
   GHashTable *digests;   /* index -> digest of the view */
   GHashTable *answered;  /* request id -> LcControlAnswer */
-  uint64_t acknowledged; /* highest index that a client heard of */
+  uint64_t acknowledged; /* highest index of an operator's answer */
   uint64_t next_request;
-  int replaced; /* node that is being replaced, or -1 */
-  int newcomer;
+  int replaced; /* node, or -1 */
+  int replacement;
   GArray *commit_us;
   LcFakeVerdict verdict;
 };
--- a/tests/fakes/lc-fake-run.h
+++ b/tests/fakes/lc-fake-run.h
@@ -1,4 +1,4 @@
-/* lc-fake-run: runs one suite and says by the exit code whether all of it passed.
+/* lc-fake-run: runs one Check suite and returns the exit code for main.
  *
  * HOW TO USE IT
  *     return lc_fake_run (suite);          at the end of main
--- a/tests/fakes/lc-member-fake.c
+++ b/tests/fakes/lc-member-fake.c
@@ -1,14 +1,14 @@
-/* Stands in for lc-member in tests of one plane: the view comes from a file of operations that the
- * test appends to, so that a test decides what each process knows and when.
+/* Replaces lc-member in tests of one plane: reads the view from a file of operations, so that a
+ * test controls which revision each process holds and when.
  *
- *   LC_FAKE_VIEW      file of operations, one a line:
+ *   LC_FAKE_VIEW      file that the test appends to, one operation a line:
  *                       REVISION dc ID NAME
  *                       REVISION service ID NAME TIMEOUT_MS CALLER_LIMIT RETRY_PERCENT
  *                       REVISION route ID SERVICE PREFIX
  *                       REVISION endpoint ID SERVICE INSTANCE DC STATE IPV4 PORT SLOTS NAME
  *                       REVISION gone ID SERVICE
  *                       REVISION settled SETTLED
- *   LC_FAKE_ANNOUNCE  file that gets this process's instance
+ *   LC_FAKE_ANNOUNCE  file to write this process's instance to
  */
 #include "controller/lc-member.h"
 
@@ -118,7 +118,7 @@
         lc_fake.offset = ftell (file);
         if (!lc_fake_read (&op, line) || lc_view_apply (&lc_fake.view, &op, &error) < 0)
           {
-            (void)fprintf (stderr, "fake view: bad line %s%s\n", line, error.message);
+            (void)fprintf (stderr, "LC_FAKE_VIEW: invalid operation: %s%s\n", line, error.message);
             abort ();
           }
         is_changed = true;
@@ -242,7 +242,6 @@
 {
 }
 
-/* This view is the only one there is. */
 void
 lc_member_note_revision (LcMember *member, LcRevision revision)
 {
