--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -1,6 +1,6 @@
-"""The promises of the users' pages, checked from what callers, operators and backend servers see.
+"""Checks the guarantees of the user documentation as callers, operators and backend servers see them.
 
-Each check appends to `broken`: what was promised, and what was seen instead.
+Each check adds its violations to `broken`: the promise and what was seen instead.
 """
 import collections
 import http.client
@@ -11,15 +11,15 @@
 from lychee_site import ask
 
 ATTEMPTS_MAX = 12
-UNKNOWN_MAX = 5  # a run that was cut off keeps its outcome "unknown": asking on is of no use
+UNKNOWN_MAX = 5  # a cut-off run stays "unknown": more retries are useless
 PAUSE_S = 0.1
-SERVED_S = 12  # the users' pages: this long after a fault requests are served again (recoveryS)
-ANSWER_S = 3  # a caller's patience with one attempt: bytes that a fault swallowed never come
-LATE_S = 2  # besides, on a busy machine, for callers that say how long they wait
+SERVED_S = 12  # documented limit (recoveryS) from a fault until requests are served again
+ANSWER_S = 3  # timeout of one attempt: bytes that a fault dropped never arrive
+LATE_S = 2  # added for a busy machine, for callers that send their timeout
 
 
 class Broken:
-    """What was found, with the time since the start; safe from several threads."""
+    """Collects violations with the time since the start; thread-safe."""
 
     def __init__(self):
         self.lock, self.found, self.start = threading.Lock(), [], time.monotonic()
@@ -30,18 +30,18 @@
 
 
 class Callers:
-    """Send orders all the time; ask again with the same key until the outcome is known.
+    """Send orders continuously; each retries with the same key until the outcome is known.
 
-    Every second key is given up at its first "not run": it must never show in the journal of runs.
+    Every second key is abandoned at its first "not run"; the journal of runs must not contain it.
     """
 
     def __init__(self, site, broken, n):
         self.site, self.broken = site, broken
         self.stop = threading.Event()
-        self.per_second = collections.Counter()  # whole answers, by the second of the run
-        self.served_at = time.monotonic()  # the newest whole answer
+        self.per_second = collections.Counter()  # whole answers by second of the run
+        self.served_at = time.monotonic()  # time of the latest whole answer
         self.not_run = set()
-        # "unreachable": no attempt met a balancer that answered; "open": an order that is none of the others
+        # "unreachable": every attempt was refused or cut; "open": an order in no other class
         self.counts = {"whole": 0, "not-run": 0, "unknown": 0, "unreachable": 0, "open": 0}
         self.threads = [threading.Thread(target=self.run, args=(i,)) for i in range(n)]
         for thread in self.threads:
@@ -51,22 +51,22 @@
         n = 0
         while not self.stop.is_set():
             n += 1
-            outcome = self.send(f"{caller}-{n}", caller + n, gives_up=n % 2 == 0)
+            outcome = self.send(f"{caller}-{n}", caller + n, abandons=n % 2 == 0)
             with self.broken.lock:
                 if outcome == "whole":
                     self.served_at = time.monotonic()
                 self.counts[outcome] += 1
                 self.per_second[int(time.monotonic() - self.broken.start)] += outcome == "whole"
 
-    def ask(self, key, balancer, says_limit):
-        """The answer, or what came instead of it: "refused", "silent" or "cut"."""
+    def ask(self, key, balancer, sends_timeout):
+        """Returns the answer, or "refused", "silent" or "cut"."""
         began = time.monotonic()
-        headers = {"Lychee-Timeout-Ms": str(ANSWER_S * 1000)} if says_limit else {}
+        headers = {"Lychee-Timeout-Ms": str(ANSWER_S * 1000)} if sends_timeout else {}
         try:
-            return self.site.order_or_raise(key, balancer, ANSWER_S + (LATE_S if says_limit else 0), headers)
+            return self.site.order_or_raise(key, balancer, ANSWER_S + (LATE_S if sends_timeout else 0), headers)
         except TimeoutError:
             took_s = time.monotonic() - began
-            if says_limit and self.site.is_calm((balancer, f"link {balancer}"), took_s + 1):
+            if sends_timeout and self.site.is_fault_free((balancer, f"link {balancer}"), took_s + 1):
                 self.broken.add("a living balancer answers before its caller's limit", f"{key} at {balancer}: nothing in {took_s:.2f} s")
             return "silent"
         except ConnectionRefusedError:
@@ -74,29 +74,29 @@
         except (OSError, http.client.HTTPException):
             return "cut"
 
-    def send(self, key, first, gives_up):
-        may_have_run, n_unknown, seen = False, 0, []
+    def send(self, key, first, abandons):
+        may_have_run, n_unknown, results = False, 0, []
         for attempt in range(ATTEMPTS_MAX):
             names = self.site.balancers
             balancer = names[(first + attempt) % len(names)]
-            answer = self.ask(key, balancer, says_limit=first % 2 == 0)
-            seen.append(answer if isinstance(answer, str) else f"{answer[0]} {answer[1].get('lychee-reason', '')}")
+            answer = self.ask(key, balancer, sends_timeout=first % 2 == 0)
+            results.append(answer if isinstance(answer, str) else f"{answer[0]} {answer[1].get('lychee-reason', '')}")
             answer = None if isinstance(answer, str) else answer
             if answer and answer[0] == 200:
                 self.check_whole(key, answer[2])
                 return "whole"
             is_not_run = answer is not None and answer[1].get("lychee-outcome") == "not-run"
-            # "not run" speaks of the copies that have been answered.
+            # "not run" covers only the attempts that were answered.
             may_have_run = may_have_run or not is_not_run
-            if is_not_run and gives_up and not may_have_run:
+            if is_not_run and abandons and not may_have_run:
                 self.not_run.add(key)
                 return "not-run"
             n_unknown += 1 if answer is not None and answer[1].get("lychee-outcome") == "unknown" else 0
             if n_unknown == UNKNOWN_MAX:
                 return "unknown"
             time.sleep(PAUSE_S)
-        outcome = "unknown" if n_unknown else "unreachable" if set(seen) <= {"refused", "cut"} else "open"
-        print(f"{key} stays {outcome}: {', '.join(seen)}", flush=True)
+        outcome = "unknown" if n_unknown else "unreachable" if set(results) <= {"refused", "cut"} else "open"
+        print(f"{key} stays {outcome}: {', '.join(results)}", flush=True)
         return outcome
 
     def check_whole(self, key, body):
@@ -123,7 +123,7 @@
 
 
 class Served:
-    """A service with a backend server, an agent and a balancer that nobody disturbs serves orders."""
+    """Checks that orders are served while a backend server, its agent and a balancer have no fault."""
 
     def __init__(self, site, broken, callers):
         self.site, self.broken, self.callers = site, broken, callers
@@ -144,8 +144,8 @@
 
 
 class Operator:
-    """Confirms changes all the time, and reads back: nothing confirmed may be missing from a read that
-    claims to be the newest and was asked for later."""
+    """Confirms changes continuously and reads the status of each control VM: a read sent after a
+    confirmation must include it if marked is_newest."""
 
     def __init__(self, site, broken):
         self.site, self.broken = site, broken
@@ -163,14 +163,14 @@
             try:
                 revision = self.site.change_limit(limit)
             except (AssertionError, OSError, ValueError):
-                revision = 0  # no clear answer: it may be in force or not
+                revision = 0  # outcome unknown: it may be in force
             if revision:
                 self.confirmed = max(self.confirmed, revision)
                 self.n_changes += 1
             time.sleep(0.4)
 
     def read(self, name):
-        """Of one control VM, one question after the other: one that stands still answers when it wakes."""
+        """Reads one control VM, one request at a time; a frozen one answers once it resumes."""
         while not self.stop.is_set():
             before = self.confirmed
             status = self.site.status_of(name)
@@ -186,7 +186,7 @@
 
 
 def check_feed(feed, broken, planned_only):
-    """Answers come from one backend server of the right service; planned work breaks no flow."""
+    """Checks that only the flow's own service answers and that planned work breaks no flow."""
     wrong = [name for name in feed.get("servers", {}) if name.startswith("vault")]
     if wrong:
         broken.add("a packet reaches only its own service", f"answers of {wrong}")
@@ -195,18 +195,18 @@
 
 
 def check_recovered(site, broken, limit_s):
-    """Once the faults are over the whole system serves again."""
+    """Checks that the whole site serves again within limit_s after the last fault."""
     deadline = time.monotonic() + limit_s
-    waiting = "?"
+    missing = "?"
     while time.monotonic() < deadline:
-        waiting = what_is_missing(site)
-        if waiting is None:
+        missing = missing_service(site)
+        if missing is None:
             return
         time.sleep(0.2)
-    broken.add("the system recovers by itself", f"after {limit_s} s still missing: {waiting}")
+    broken.add("the system recovers by itself", f"after {limit_s} s still missing: {missing}")
 
 
-def what_is_missing(site):
+def missing_service(site):
     if site.n_active() != len(site.servers):
         return f"endpoints {site.endpoints()}"
     for name in site.balancers:
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,7 +1,7 @@
-"""A loopback TCP proxy whose connections can be delayed, reset, silenced or cut one way.
+"""Loopback TCP proxies that inject faults: delay, reset, silence and one-way cuts.
 
 One thread runs all proxies of a soak.  A fault applies to open connections too: silence and a one-way cut
-swallow bytes without closing anything, as a network does.
+drop bytes without closing a connection, as a network does.
 """
 import asyncio
 import socket
@@ -13,7 +13,7 @@
 
 
 class Fault:
-    """What a proxy does to bytes now."""
+    """Delays or drops of one proxy, by direction."""
 
     def __init__(self, delay_s=0.0, drops_up=False, drops_down=False):
         self.delay_s, self.drops_up, self.drops_down = delay_s, drops_up, drops_down
@@ -29,16 +29,16 @@
 
 
 class Proxy:
-    """Listens at one address and passes connections on to another."""
+    """Forwards connections from one address to another."""
 
     def __init__(self, loop, listen, target):
         self.loop, self.listen, self.target = loop, listen, target
         self.fault, self.writers = NONE, set()
 
     async def serve(self):
-        await asyncio.start_server(self.connected, *self.listen)
+        await asyncio.start_server(self.handle_connection, *self.listen)
 
-    async def connected(self, reader, writer):
+    async def handle_connection(self, reader, writer):
         try:
             up_reader, up_writer = await asyncio.open_connection(*self.target)
         except OSError:
@@ -72,7 +72,7 @@
 
 
 class Proxies:
-    """All proxies of a soak, by name."""
+    """Runs the proxies of a soak, by name."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""A randomized soak: the real programs as separate processes on loopback, and faults from outside them.
+"""Randomized fault injection: the real programs as processes on loopback, under faults from outside.
 
 Usage: soak.py BUILD_DIR [--seed N] [--runs N] [--seconds S] [--size small|large] [--planned]
 
-A seed gives the series of faults: which, where, when, how long; series overlap.  Promises (promises.py) are
-checked while it runs and after.  Exit 0: none was broken.  The folder with settings and logs of a run that
-broke one is kept and named.  Seeds that ever failed stand in seeds.txt.
+The seed determines the overlapping series of faults: kind, target, start and duration.  The promises
+(promises.py) are checked during the run and after it.  Exit 0: none was broken.  A run that broke one keeps
+its folder of settings and logs and prints its path.  seeds.txt lists the seeds that once failed.
 """
 import argparse
 import json
@@ -24,10 +24,10 @@
 import proxy  # noqa: E402
 from lychee_site import LIVENESS_S, Site, ask  # noqa: E402
 
-# After three homes of a key are lost within a second, requests with keys wait for 65 s: the longest deadline
-# that a claim of theirs may have had (docs/CALLERS.md).  The rest is for a busy machine.
+# Once three homes of a key are lost within a second, requests with keys wait for 65 s, the longest deadline
+# of a claim that they may have held (docs/CALLERS.md).  The rest is for a busy machine.
 RECOVERY_S = 90
-SERVICE_MS = 40  # long enough that faults meet requests at work
+SERVICE_MS = 40  # long enough for faults to hit running requests
 SIZES = {
     # desks, vaults, balancers, callers
     "small": (5, 2, 3, 8),
@@ -36,16 +36,16 @@
 
 
 class SoakSite(Site):
-    """A site whose control VMs heal, with a proxy before each backend server and each balancer's HTTP."""
+    """A site with self-healing control VMs and a proxy to each backend server and balancer's HTTP port."""
 
     def __init__(self, build, size):
         desks, vaults, balancers, _ = SIZES[size]
         super().__init__(build, desks, vaults, controls=3, balancers=balancers, service_ms=SERVICE_MS)
         self.proxies, self.down = proxy.Proxies(), set()
-        self.calm_since = {}  # process or "link NAME" -> when its newest fault was over; None: it goes on
-        self.is_formed = False  # from then on an empty data folder never forms a cluster
+        self.fault_ended_at = {}  # process or "link NAME" -> end of its latest fault; None: under a fault
+        self.is_formed = False  # once set, an empty data folder forms no cluster
         self.wiping = threading.Lock()
-        self.lock = threading.RLock()  # processes are started and ended by several series
+        self.lock = threading.RLock()  # several series start and stop processes
         for name in [*self.servers, *self.balancers]:
             host, port = self.proxied(name).split(":")
             self.proxies.add(name, (host, int(port)), (self.address[name], 8000 if name in self.servers else 8080))
@@ -71,7 +71,7 @@
     # --- the operator ---------------------------------------------------------------------------
 
     def change_limit(self, limit):
-        """Plans and confirms one change; its revision, 0: no clear answer."""
+        """Plans and confirms a change; returns its revision, 0 if unknown."""
         with open(os.path.join(self.folder, "market.json"), encoding="utf-8") as text:
             declared = json.load(text)
         declared["services"][0]["limits"] = {"caller_limit": limit}
@@ -87,7 +87,7 @@
         return json.loads(answer[2]) if answer and answer[0] == 200 else None
 
     def has_three_copies(self):
-        """Three voters, each of them heard lately and with a folder that it has joined the log with."""
+        """Whether three members are back (no name is listed twice), none silent for 500 ms."""
         for name in self.controls:
             status = self.status_of(name)
             if status and status["is_newest"]:
@@ -108,43 +108,43 @@
                 self.start_server(name[len("server-"):])
             else:
                 self.start_agent(name[len("agent-"):])
-            self.give_back(name)
+            self.release_process(name)
 
-    def take(self, name):
-        """Reserves a process for one fault; false: it is in the hands of another."""
+    def reserve(self, name):
+        """Reserves a process for a fault; false if another fault has it."""
         with self.lock:
             if name in self.down:
                 return False
             self.down.add(name)
-            self.calm_since[name] = None
+            self.fault_ended_at[name] = None
             return True
 
-    def give_back(self, name):
-        """The fault of a process is over."""
+    def release_process(self, name):
+        """Releases a process after its fault."""
         with self.lock:
             self.down.discard(name)
-            self.calm_since[name] = time.monotonic()
+            self.fault_ended_at[name] = time.monotonic()
 
-    def is_calm(self, names, for_s):
-        """Whether no fault has touched any of these for so long."""
+    def is_fault_free(self, names, for_s):
+        """Whether none of these had a fault in the last for_s."""
         now = time.monotonic()
-        since = [self.calm_since.get(name, 0) for name in names]
+        since = [self.fault_ended_at.get(name, 0) for name in names]
         return all(one is not None and now - one >= for_s for one in since)
 
-    def calm_balancers(self, for_s):
-        return [name for name in self.balancers if self.is_calm((name, f"link {name}"), for_s)]
+    def fault_free_balancers(self, for_s):
+        return [name for name in self.balancers if self.is_fault_free((name, f"link {name}"), for_s)]
 
     def can_serve(self, for_s):
-        """Whether a backend server of the desk, its agent and a balancer have been left alone for so long."""
+        """Whether some desk's backend server and agent, and a balancer, had no fault in the last for_s."""
         desks = [name for name, service in self.servers.items() if service == "order-desk"]
-        return bool(self.calm_balancers(for_s)) and any(
-            self.is_calm((f"server-{name}", f"agent-{name}", f"link {name}"), for_s) for name in desks)
+        return bool(self.fault_free_balancers(for_s)) and any(
+            self.is_fault_free((f"server-{name}", f"agent-{name}", f"link {name}"), for_s) for name in desks)
 
 
 # === faults =====================================================================================
 
 class Fault:
-    """One fault: what, to whom, for how long."""
+    """A fault's kind, targets and duration."""
 
     def __init__(self, kind, targets, for_s):
         self.kind, self.targets, self.for_s = kind, targets, for_s
@@ -153,9 +153,9 @@
         return f"{self.kind} {','.join(self.targets)} for {self.for_s:.1f} s"
 
 
-def hold(site, name, begin, for_s, end):
-    """Begins, waits and ends, unless another fault has the process."""
-    if not site.take(name):
+def apply_fault(site, name, begin, for_s, end):
+    """Applies a fault for for_s, unless another fault has the process."""
+    if not site.reserve(name):
         return
     begin()
     time.sleep(for_s)
@@ -163,11 +163,11 @@
 
 
 def kill(site, name, for_s):
-    hold(site, name, lambda: site.kill(name), for_s, lambda: site.restart(name))
+    apply_fault(site, name, lambda: site.kill(name), for_s, lambda: site.restart(name))
 
 
 def planned_stop(site, name, for_s):
-    """SIGTERM and a new start; must end by itself."""
+    """Sends SIGTERM, requires an exit, and restarts after for_s."""
     def stop():
         site.signal(name, signal.SIGTERM)
         try:
@@ -175,18 +175,18 @@
         except subprocess.TimeoutExpired:
             site.broken.add("a planned stop ends", name)
             site.kill(name)
-    hold(site, name, stop, for_s, lambda: site.restart(name))
+    apply_fault(site, name, stop, for_s, lambda: site.restart(name))
 
 
 def freeze(site, name, for_s):
     def wake():
         site.signal(name, signal.SIGCONT)
-        site.give_back(name)
-    hold(site, name, lambda: site.signal(name, signal.SIGSTOP), for_s, wake)
+        site.release_process(name)
+    apply_fault(site, name, lambda: site.signal(name, signal.SIGSTOP), for_s, wake)
 
 
 def wipe(site, name, for_s):
-    """Loses a disk.  Three voters bear one at a time: the next waits until the log has its three copies again."""
+    """Kills a control VM and deletes its data.  Three voters tolerate one loss: the next is skipped until it is back."""
     def lose():
         site.kill(name)
         shutil.rmtree(site.data_folder(name), ignore_errors=True)
@@ -194,7 +194,7 @@
         return
     try:
         if site.has_three_copies():
-            hold(site, name, lose, for_s, lambda: site.restart(name))
+            apply_fault(site, name, lose, for_s, lambda: site.restart(name))
             wait_for(site.has_three_copies, RECOVERY_S)
     finally:
         site.wiping.release()
@@ -207,36 +207,36 @@
 
 
 def fill_disk(site, name, for_s):
-    """Files of the process can't grow: its disk is full."""
+    """Emulates a full disk: RLIMIT_FSIZE stops the process's files from growing."""
     limits = resource.RLIMIT_FSIZE, (4096, resource.RLIM_INFINITY)
     pid = site.processes[name].pid
 
     def empty():
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
-        site.give_back(name)
-    hold(site, name, lambda: resource.prlimit(pid, *limits), for_s, empty)
+        site.release_process(name)
+    apply_fault(site, name, lambda: resource.prlimit(pid, *limits), for_s, empty)
 
 
-def disturb(site, name, kind, for_s):
+def apply_link_fault(site, name, kind, for_s):
     if kind == "reset":
         site.proxies.reset(name)
-        site.calm_since[f"link {name}"] = time.monotonic()
+        site.fault_ended_at[f"link {name}"] = time.monotonic()
         return
-    site.calm_since[f"link {name}"] = None
+    site.fault_ended_at[f"link {name}"] = None
     site.proxies.set(name, kind)
     time.sleep(for_s)
     site.proxies.set(name, None)
-    site.calm_since[f"link {name}"] = time.monotonic()
+    site.fault_ended_at[f"link {name}"] = time.monotonic()
 
 
 def run_fault(site, fault):
-    each = {"kill": kill, "stop": planned_stop, "freeze": freeze, "wipe": wipe, "full": fill_disk}
+    actions = {"kill": kill, "stop": planned_stop, "freeze": freeze, "wipe": wipe, "full": fill_disk}
     kind = fault.kind.removeprefix("all-")
-    action = each.get(kind)
+    action = actions.get(kind)
     threads = []
     for name in fault.targets:
         args = (site, name, fault.for_s) if action else (site, name, kind, fault.for_s)
-        threads.append(threading.Thread(target=action or disturb, args=args))
+        threads.append(threading.Thread(target=action or apply_link_fault, args=args))
         threads[-1].start()
     for thread in threads:
         thread.join()
@@ -244,7 +244,7 @@
 
 # === series =====================================================================================
 
-# kind, who, how many at most, weight; `planned` ones are planned work.
+# kind, targets, most targets at once, weight, is planned work
 KINDS = [
     ("stop", "agents", 1, 3, True),
     ("stop", "balancers", 1, 3, True),
@@ -267,7 +267,7 @@
 ]
 
 
-def draw(site, rng, planned_only):
+def draw_fault(site, rng, planned_only):
     kinds = [kind for kind in KINDS if kind[4] or not planned_only]
     kind, who, at_most, _, _ = rng.choices(kinds, [one[3] for one in kinds])[0]
     names = {"agents": ["agent-" + name for name in site.servers], "servers": ["server-" + name for name in site.servers],
@@ -277,9 +277,9 @@
 
 
 def series(site, rng, until, planned_only, log):
-    """Faults one after the other, with pauses; several series overlap."""
+    """Injects one fault after the other, with pauses; several series overlap."""
     while time.monotonic() < until:
-        fault = draw(site, rng, planned_only)
+        fault = draw_fault(site, rng, planned_only)
         log.append(f"{time.monotonic() - site.broken.start:6.1f} s  {fault}")
         try:
             run_fault(site, fault)
@@ -288,14 +288,14 @@
         time.sleep(rng.uniform(0.0, 1.5))
 
 
-def keep(site):
+def keep_folder(site):
     kept = f"{site.folder}.kept"
     shutil.copytree(site.folder, kept, dirs_exist_ok=True)
     print(f"  settings and logs: {kept}", flush=True)
 
 
 def run_seed(build, seed, seconds, size, planned_only, verbose):
-    """The promises that one seed broke."""
+    """Runs one seed; returns its violations."""
     rng, log = random.Random(seed), []
     n_series = 1 if planned_only else rng.randint(2, 4)
     broken = promises.Broken()
@@ -328,7 +328,7 @@
             for promise, what in broken.found[:20]:
                 print(f"  {promise}: {what}")
         if broken.found or verbose:
-            keep(site)
+            keep_folder(site)
     return broken.found
 
 
