--- a/tests/e2e/lychee_site.py
+++ b/tests/e2e/lychee_site.py
@@ -1,7 +1,7 @@
-"""A small site of real processes on 127.x addresses, for tests of failures.
+"""Runs a small site of real processes on loopback addresses, for failure tests.
 
-One data centre a /24 of a random /16: control VMs at .10, balancers at .20, backend servers with their
-agents at .30 and up.  Everything that is started is ended by its process id.
+Its data centre is a /24 of a random /16 of 127/8: control VMs from .10, balancers from .20, backend servers
+with their agents from .30.  Processes are ended by process id only.
 """
 import http.client
 import json
@@ -14,19 +14,19 @@
 import tempfile
 import time
 
-LIVENESS_S = 60  # generous: only something that hangs reaches it
+LIVENESS_S = 60  # long enough that only a hang reaches it
 PORTS = (7000, 8000, 8001, 8080, 9100)
 
 
 def wait_until(what, is_true, limit_s=LIVENESS_S):
-    """Polls until is_true(); fails with `what` at the limit."""
+    """Polls is_true() and returns its value; fails with `what` after limit_s."""
     deadline = time.monotonic() + limit_s
     while True:
         value = is_true()
         if value:
             return value
         if time.monotonic() > deadline:
-            raise AssertionError(f"{what}: not within {limit_s} s")
+            raise AssertionError(f"timed out after {limit_s} s: {what}")
         time.sleep(0.05)
 
 
@@ -44,7 +44,7 @@
 
 
 def ask_or_raise(method, url, body=None, headers=None, timeout=20):
-    """Status, headers and whole body; OSError (TimeoutError: nothing came in time) or HTTPException without them."""
+    """Returns status, headers and body; raises OSError (TimeoutError: no answer in time) or HTTPException."""
     address, _, path = url.partition("/")
     connection = http.client.HTTPConnection(address, timeout=timeout)
     try:
@@ -56,7 +56,7 @@
 
 
 def ask(method, url, body=None, headers=None, timeout=20):
-    """The same; None for a connection that failed or an answer cut short."""
+    """As ask_or_raise; None if the connection failed or the answer was cut."""
     try:
         return ask_or_raise(method, url, body, headers, timeout)
     except (OSError, http.client.HTTPException):
@@ -110,7 +110,7 @@
 
     def start(self, name, program, *args):
         with open(os.path.join(self.folder, name + ".log"), "ab") as log:
-            # In a session of its own: the kernel hangs up a whole group that is orphaned while one of it is stopped.
+            # Own session: the kernel sends SIGHUP to an orphaned process group if one of it is stopped.
             self.processes[name] = subprocess.Popen(
                 [os.path.join(self.build, program), *args], stdout=log, stderr=log, start_new_session=True)
 
@@ -147,15 +147,15 @@
                    "--journal", os.path.join(self.folder, "runs"))
 
     def backend_http(self, name):
-        """Where the agent reaches its backend server by HTTP."""
+        """Returns the address of a backend server for its agent."""
         return f"{self.address[name]}:8000"
 
     def balancer_http(self, name):
-        """Where callers reach a balancer by HTTP."""
+        """Returns the address of a balancer for callers."""
         return f"{self.address[name]}:8080"
 
     def journal_of_runs(self):
-        """How often each key was run, by backend servers that live or are dead."""
+        """Returns the runs of each key, those of killed backend servers too."""
         runs = {}
         path = os.path.join(self.folder, "runs")
         if os.path.exists(path):
@@ -182,7 +182,7 @@
         self.processes[name].wait()
 
     def stop(self, name):
-        """SIGTERM; the exit code."""
+        """Sends SIGTERM; returns the exit code."""
         self.processes[name].send_signal(signal.SIGTERM)
         return self.processes[name].wait(LIVENESS_S)
 
@@ -201,13 +201,13 @@
 
     def plan(self, *args):
         result = self.lychee("plan", *args, "--json")
-        assert result.returncode == 0, result.stderr
+        assert result.returncode == 0, f"lychee plan {args}: {result.stderr}"
         return str(json.loads(result.stdout)["plan_id"])
 
     def carry_out(self, *args):
         plan = self.plan(*args)
         result = self.lychee("confirm", plan, "--wait")
-        assert result.returncode == 0, result.stderr
+        assert result.returncode == 0, f"lychee confirm {plan} of {args}: {result.stderr}"
 
     def open_market(self):
         services = {
@@ -219,7 +219,7 @@
                     "services": [{"name": name} | value for name, value in services.items()]}
         wait_until("control has a leader", lambda: self.status().get("leader"))
         self.carry_out("open-market", "--file", self.settings("market", declared), "--allow-empty")
-        wait_until("all backend servers take work", lambda: self.n_active() == len(self.servers))
+        wait_until("all endpoints are active", lambda: self.n_active() == len(self.servers))
         wait_until("all balancers are ready", lambda: all(
             (ask("GET", f"{self.address[name]}:9100/readyz") or [0])[0] == 200 for name in self.balancers))
 
@@ -242,7 +242,7 @@
                             {"Idempotency-Key": key} | (headers or {}), timeout)
 
     def runs(self, key=""):
-        """Runs of a key (or all) over the backend servers that still live."""
+        """Returns the runs of a key (or of all) on the running backend servers."""
         total = 0
         for name in self.servers:
             answer = ask("GET", f"{self.address[name]}:8000/runs/{key}", timeout=5)
@@ -263,7 +263,7 @@
                  f"{self.block}.200.1", "--balancers", os.path.join(self.folder, "flow-balancers"), "--flows",
                  str(flows), "--interval-ms", "50", "--seconds", str(seconds), "--seed", "3"], stdout=out,
                 stderr=subprocess.STDOUT)
-        wait_until("each flow is answered", lambda: sum(self.feed().get("servers", {}).values()) == flows)
+        wait_until("the feed has an answer on each flow", lambda: sum(self.feed().get("servers", {}).values()) == flows)
 
     def write_balancers(self, names):
         path = os.path.join(self.folder, "flow-balancers")
--- a/tests/e2e/mixed_builds.py
+++ b/tests/e2e/mixed_builds.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Two builds beside each other, and the second on the data of the first: what a rolling upgrade meets.
+"""Tests a rolling upgrade: two builds run together, and each runs on the other's data.
 
 Usage: mixed_builds.py OLD_BUILD NEW_BUILD
 
-Guards against a change of messages, settings, stored data or log lines that only one of the two builds reads.
+Guards against changes of messages, settings, stored data or log lines that only one of the builds reads.
 Not part of CI, which has one build only.
 """
 import glob
@@ -20,7 +20,7 @@
 
 
 class Mixed(Site):
-    """A site whose processes are of either build."""
+    """A site with processes of both builds; build_of(name) chooses."""
 
     def __init__(self, build_of, **size):
         super().__init__(NEW, **size)
@@ -29,10 +29,10 @@
     def start(self, name, program, *args):
         self.build = self.build_of(name)
         super().start(name, program, *args)
-        self.build = NEW  # of the operators' program
+        self.build = NEW  # for the lychee CLI
 
     def start_control(self, name, **more):
-        super().start_control(name, snapshot_every=16, **more)  # so that a snapshot is written as well
+        super().start_control(name, snapshot_every=16, **more)  # low, so that snapshots are written
 
     def lychee_on_files(self, *args):
         return subprocess.run([os.path.join(NEW, "src/cli/lychee"), *args, *self.logs()], capture_output=True,
@@ -63,13 +63,13 @@
 
 
 def test_data(old, new):
-    """The processes of one build write logs, snapshots and claims; those of the other go on with them."""
+    """Logs, snapshots and claims that one build wrote must load in the other."""
     build = [old]
     with Mixed(lambda name: build[0]) as site:
         for i in range(10):
             site.carry_out("drain", "desk-2")
             site.carry_out("undrain", "desk-2")
-        wait_until("all take work", lambda: site.n_active() == len(site.servers))
+        wait_until("all endpoints are active", lambda: site.n_active() == len(site.servers))
         answers = [site.order(f"kept-{i}", f"lb-{i % 2}") for i in range(12)]
         before = site.status()
         for name in names(site, "control", "agent"):
@@ -81,9 +81,9 @@
         for name in site.servers:
             site.start_agent(name)
         wait_until("control has a leader", lambda: site.status().get("leader"))
-        wait_until("all take work", lambda: site.n_active() == len(site.servers))
+        wait_until("all endpoints are active", lambda: site.n_active() == len(site.servers))
         for field in ("revision", "config_revision"):
-            wait_until(f"{field} is as before", lambda: site.status()[field] >= before[field])
+            wait_until(f"{field} is at least {before[field]}", lambda: site.status()[field] >= before[field])
         after = site.status()
         assert [s["name"] for s in after["services"]] == [s["name"] for s in before["services"]]
         loaded = [name for name in site.controls if site.events(name, "control.snapshot-loaded")]
@@ -93,7 +93,7 @@
         print("   revision", before["revision"], "->", after["revision"], "answers",
               [a[0] for a in answers], "again", [a[0] for a in again])
         assert loaded and len(resumed) == len(site.servers) and site.most_runs() == 1
-        # An answer is in memory only; the claim keeps the order from running again, and the caller is told so.
+        # Answers aren't stored; the claim prevents a second run, and the outcome is "unknown".
         assert all(b[2] == a[2] if b[0] == 200 else b[1].get("lychee-outcome") == "unknown"
                    for a, b in zip(answers, again)), again
         assert [site.order(f"new-{i}", f"lb-{i % 2}")[0] for i in range(6)] == [200] * 6
@@ -104,7 +104,7 @@
 
 
 def change(site, verb):
-    """One try, as of an operator: False where the leader changed meanwhile."""
+    """Plans and confirms once; False if that failed, as while the leader changes."""
     planned = site.lychee("plan", verb, "desk-2", "--json")
     if planned.returncode != 0:
         return False
@@ -112,7 +112,7 @@
 
 
 def change_leaders(site):
-    """Kills two leaders, with a change of configuration under each; their names."""
+    """Kills two leaders, each after a configuration change; returns their names."""
     led = []
     for _ in range(2):
         leader = wait_until("control has a leader", lambda: site.status().get("leader"))
@@ -120,15 +120,15 @@
         for verb, state in (("drain", "draining"), ("undrain", "active")):
             wait_until(f"{verb} is carried out", lambda: change(site, verb) or site.endpoints().get("desk-2") == state)
         site.kill(leader)
-        wait_until("another leads", lambda: site.status().get("leader") not in (None, "", leader))
+        wait_until("another control VM leads", lambda: site.status().get("leader") not in (None, "", leader))
         site.start_control(leader)
-        wait_until("it follows", lambda: [
+        wait_until(f"{leader} has caught up", lambda: [
             one.get("behind") for one in site.status().get("members", []) if one["name"] == leader] == [0])
     return led
 
 
 def test_beside(old, new):
-    """Control VMs, balancers and agents of both builds serve orders and feeds, under leaders of both."""
+    """Mixed control VMs, balancers and agents must serve orders and feeds, under either build's leader."""
     odd = [name for i in range(3) for name in (f"control-{i}", f"lb-{i}", f"agent-desk-{i}") if i % 2]
     build_of = lambda name: new if name in odd else old  # noqa: E731
     with Mixed(build_of) as site:
--- a/tests/e2e/test_failures.py
+++ b/tests/e2e/test_failures.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Failures of real processes: kills, freezes, planned stops with work in flight, reused addresses.
+"""Failure tests of real processes: kills, freezes, planned stops under load, reused addresses.
 
 Usage: test_failures.py BUILD_DIR [TEST...]
 """
@@ -16,8 +16,8 @@
 
 
 class Callers:
-    """Callers that send orders all the time and ask again, with the same key, through the next
-    balancer until they get a whole answer or are told that the outcome is unknown."""
+    """Send orders continuously; each retries with the same key through the next balancer until it
+    gets a whole answer, 60 times at most."""
 
     def __init__(self, site, n=3):
         self.site, self.stop, self.outcomes, self.last = site, threading.Event(), {}, {}
@@ -38,7 +38,7 @@
             if answer and answer[0] == 200:
                 return "whole" if json.loads(answer[2])["key"] == key else "crossed"
             time.sleep(0.1)
-        # Asking again with the same key is safe; what stays unknown was said to be so.
+        # Retries with the same key are safe; "unknown" was reported as such, "lost" was not.
         return "unknown" if answer and answer[1].get("lychee-outcome") == "unknown" else "lost"
 
     def end(self):
@@ -68,7 +68,7 @@
             site.write_balancers(["lb-0"])
             time.sleep(4)
             counts = callers.end()
-            # What was in flight at the dead balancer was asked again by its caller.
+            # Callers have resent the orders that were in flight at lb-1.
             self.check_orders(site, counts)
             feed = site.end_feed()
             self.assertEqual((feed["broken_flows"], feed["silent_flows"]), (0, 0), feed)
@@ -81,11 +81,11 @@
             self.assertEqual(site.feed()["broken_flows"], 0)
             owned = site.feed()["servers"].get("desk-0", 0)
             site.kill("agent-desk-0")
-            wait_until("its loss is noticed", lambda: site.endpoints().get("desk-0") != "active")
+            wait_until("desk-0 is no longer active", lambda: site.endpoints().get("desk-0") != "active")
             time.sleep(2)
             counts = callers.end()
             feed = site.end_feed()
-            # An order that ran at the dead agent when it died has an unknown outcome, at most one a slot.
+            # The outcome of orders running at the killed agent is unknown: at most one a slot.
             self.check_orders(site, counts, unknown_allowed=4)
             self.assertLessEqual(feed["broken_flows"] + feed["silent_flows"], owned, feed)
 
@@ -93,33 +93,33 @@
         with Site(BUILD, desks=2) as site:
             before = site.status()
             site.kill(before["leader"])
-            wait_until("another leads", lambda: site.status().get("leader") not in (None, "", before["leader"]))
+            wait_until("a new leader is elected", lambda: site.status().get("leader") not in (None, "", before["leader"]))
             after = site.status()
             self.assertGreaterEqual(after["revision"], before["revision"])
             site.carry_out("drain", "desk-1")
             self.assertEqual(site.order("after", "lb-0")[0], 200)
             site.start_control(before["leader"])
-            wait_until("the restarted one follows", lambda: all(
+            wait_until("the restarted control VM has caught up", lambda: all(
                 member.get("behind", 0) == 0 for member in site.status().get("members", [{"behind": 1}])))
-            wait_until("the drain holds", lambda: site.endpoints().get("desk-1") != "active")
+            wait_until("desk-1 stays drained", lambda: site.endpoints().get("desk-1") != "active")
 
     def test_second_control_lost_right_after_a_repair(self):
         with Site(BUILD, desks=2) as site:
             first = site.status()["leader"]
             site.kill(first)
-            wait_until("another leads", lambda: site.status().get("leader") not in (None, "", first))
+            wait_until("a new leader is elected", lambda: site.status().get("leader") not in (None, "", first))
             site.carry_out("drain", "desk-1")
             site.start_control(first)
             second = site.status()["leader"]
-            wait_until("the repaired one has caught up", lambda: [
+            wait_until(f"{first} has caught up", lambda: [
                 one.get("behind") for one in site.status()["members"] if one["name"] == first] == [0])
             before = site.status()["revision"]
             site.kill(second)
-            wait_until("one of the two leads", lambda: site.status().get("leader") not in (None, "", second))
+            wait_until("one of the other two leads", lambda: site.status().get("leader") not in (None, "", second))
             self.assertGreaterEqual(site.status()["revision"], before)
             self.assertEqual(site.endpoints()["desk-1"], "draining")
             site.carry_out("undrain", "desk-1")
-            wait_until("it takes work again", lambda: site.endpoints().get("desk-1") == "active")
+            wait_until("desk-1 is active", lambda: site.endpoints().get("desk-1") == "active")
 
     def test_all_control_killed_and_started_again(self):
         with Site(BUILD, desks=2) as site:
@@ -139,10 +139,10 @@
             callers = Callers(site)
             time.sleep(0.5)
             site.signal("agent-desk-0", signal.SIGSTOP)
-            wait_until("its loss is noticed", lambda: site.endpoints().get("desk-0") != "active")
+            wait_until("desk-0 is no longer active", lambda: site.endpoints().get("desk-0") != "active")
             time.sleep(1)
             site.signal("agent-desk-0", signal.SIGCONT)
-            wait_until("it is back", lambda: site.endpoints().get("desk-0") == "active")
+            wait_until("desk-0 is active", lambda: site.endpoints().get("desk-0") == "active")
             time.sleep(1)
             counts = callers.end()
             self.check_orders(site, counts, unknown_allowed=4)
@@ -154,12 +154,12 @@
                        for i in range(6)]
             for thread in threads:
                 thread.start()
-            wait_until("all run", lambda: site.runs() + len(answers) >= 1)
+            wait_until("an order runs", lambda: site.runs() + len(answers) >= 1)
             codes = [site.stop("lb-1"), site.stop("agent-desk-1")]
             for thread in threads:
                 thread.join()
             self.assertEqual(codes, [0, 0])
-            # Each caller got a whole answer or was told at once to come back; none was cut.
+            # Each caller got a whole answer or an immediate refusal; none was cut.
             self.assertTrue(all(answer is not None for answer in answers), answers)
             self.assertLessEqual(site.most_runs(), 1)
 
@@ -169,14 +169,14 @@
             owned = site.feed()["servers"].get("desk-0", 0)
             site.kill("agent-desk-0")
             site.kill("server-desk-0")
-            # A ticket vault starts at once on the address whose order desk died.
+            # A ticket vault starts at once on the address of the killed order desk.
             site.address["vault-9"] = site.address["desk-0"]
             del site.servers["desk-0"]
             site.servers["vault-9"] = "ticket-vault"
             site.start_server("vault-9")
             site.start_agent("vault-9")
-            wait_until("the vault takes work", lambda: site.endpoints().get("vault-9") == "active")
-            wait_until("the desk's loss is noticed", lambda: site.endpoints().get("desk-0") != "active")
+            wait_until("vault-9 is active", lambda: site.endpoints().get("vault-9") == "active")
+            wait_until("desk-0 is no longer active", lambda: site.endpoints().get("desk-0") != "active")
             time.sleep(2)
             feed = site.end_feed()
             self.assertNotIn("vault-9", feed["servers"])
