--- a/fuzz/fuzz-adapter.c
+++ b/fuzz/fuzz-adapter.c
@@ -1,5 +1,5 @@
-/* Any bytes as what the users' platform sends: packets, reports and configurations.  The first byte
- * says which. */
+/* Fuzzes the parsers of what the users' platform sends.  The first byte selects packets, HTTP calls
+ * (reports, evacuations) or configurations. */
 #include "platform/lc-platform-declaration.h"
 #include "platform/lc-platform-evacuation.h"
 #include "platform/lc-platform-packet.h"
@@ -11,13 +11,13 @@
 enum
 {
   N_KINDS = 3,
-  HEAD_AND_DATA_MAX = 34 + 1200,
+  PACKET_MAX = 34 + 1200, /* header and data */
 };
 
 static void
 lc_fuzz__packet (const uint8_t *bytes, size_t len)
 {
-  uint8_t copy[HEAD_AND_DATA_MAX];
+  uint8_t copy[PACKET_MAX];
   uint8_t reset[LC_PLATFORM_HEAD_BYTES];
   LcPacket packet;
   LcPacket again;
@@ -25,12 +25,12 @@
   if (lc_platform_packet_parse (&packet, bytes, len) < 0)
     return;
   if (len > sizeof copy)
-    abort (); /* longer than any packet */
+    abort (); /* accepted above the maximum length */
   memcpy (copy, bytes, len);
   lc_platform_packet_set_mark (copy, packet.mark);
   if (lc_platform_packet_parse (&again, copy, len) < 0 || again.is_returned ||
       !lc_flow_key_equal (&again.key, &packet.key))
-    abort (); /* a mark makes no other packet of it */
+    abort (); /* setting the mark changed the flow */
   lc_platform_packet_reset (&packet, reset);
   if (lc_platform_packet_parse (&again, reset, sizeof reset) < 0 || !again.is_reset)
     abort ();
@@ -49,19 +49,19 @@
   if (lc_platform_report_read (&report, &call, &error) < 0)
     {
       if (error.remedy[0] == '\0')
-        abort (); /* each error names a remedy */
+        abort (); /* error without a remedy */
       return;
     }
   if (report.state != LC_BACKEND_ENDED && (report.service[0] == '\0' || report.slots == 0))
-    abort (); /* it would name a backend server that can't be used */
+    abort (); /* accepted without a service or slots */
 }
 
-/* The bytes as the name of a place. */
+/* The bytes are the data centre's name in the path. */
 static void
 lc_fuzz__evacuation (const char *method, const uint8_t *bytes, size_t len)
 {
   static const char PATH[] = "/evacuations/";
-  char path[HEAD_AND_DATA_MAX];
+  char path[PACKET_MAX];
   size_t path_len = sizeof PATH - 1 + MIN (len, sizeof path - sizeof PATH);
   LcPlatformCall call = { method, strlen (method), path, path_len, NULL, 0 };
   LcEvacuation order;
@@ -77,7 +77,7 @@
         abort ();
     }
   else if (order.data_centre[0] == '\0' || strlen (order.data_centre) != path_len - sizeof PATH + 1)
-    abort (); /* it would empty another place than was named */
+    abort (); /* name cut: evacuates another data centre */
 }
 
 static void
@@ -102,7 +102,7 @@
       return;
     }
   if (lc_numbered_check (&n, &error) < 0)
-    abort (); /* what is taken passes its check */
+    abort (); /* accepted but invalid */
   lc_numbered_finish (&n);
 }
 
--- a/fuzz/fuzz-claims.c
+++ b/fuzz/fuzz-claims.c
@@ -1,4 +1,4 @@
-/* Any bytes as the file of claims that an earlier process has left. */
+/* Fuzzes loading the claim file that an earlier process has left. */
 #include "agent/lc-claim-file.h"
 
 #include <stdlib.h>
@@ -50,15 +50,15 @@
   LcRequestAgentDesc agent_desc = { .self = { 3, 1003 }, .admission = { .slots = 1 } };
   LcError error = { 0 };
   LcRequestAgent agent;
-  LcClaimProgress state;
+  LcClaimProgress progress;
   LcClaimFile file;
 
   lc_request_agent_init (&agent, &agent_desc);
   lc_claim_file_init (&file, &desc);
   if (lc_claim_file_load (&file, &agent, 0, &error) != (int)lc_claim_store_size (&agent.store))
     abort ();
-  lc_claim_sync_progress (&agent.claim_sync, &state);
-  if (state.n_incarnations == 0 || state.n_incarnations > LC_CLAIM_SYNC_MAX_INCARNATIONS)
+  lc_claim_sync_progress (&agent.claim_sync, &progress);
+  if (progress.n_incarnations == 0 || progress.n_incarnations > LC_CLAIM_SYNC_MAX_INCARNATIONS)
     abort ();
   lc_claim_file_finish (&file);
   lc_request_agent_finish (&agent);
--- a/fuzz/fuzz-control.c
+++ b/fuzz/fuzz-control.c
@@ -1,5 +1,5 @@
-/* Any bytes as what control reads: commands, log messages, snapshots, segments and operators'
- * JSON.  The first byte says which. */
+/* Fuzzes what control reads.  The first byte selects commands, snapshots, Raft messages, log
+ * segments or operators' JSON. */
 #include "control/lc-control-codec.h"
 #include "control/lc-control-json.h"
 #include "core/control/lc-raft.h"
@@ -9,7 +9,7 @@
 
 enum
 {
-  ME = 1,
+  SELF_ID = 1,
   N_MEMBERS = 3,
   N_KINDS = 5,
   MESSAGES_MAX = 64,
@@ -30,7 +30,7 @@
       revision = state.view.revision;
       lc_control_state_apply (&state, index, &command);
       if (state.view.revision < revision || state.view.revision > index)
-        abort (); /* a view's revision is where it was committed */
+        abort (); /* revisions are log indices and never decrease */
     }
   lc_control_state_finish (&state);
   lc_control_command_finish (&command);
@@ -48,7 +48,7 @@
       GBytes *again = lc_control_state_pack (&state);
 
       if (lc_control_state_unpack (&state, again, NULL) < 0)
-        abort (); /* what was read can be written and read again */
+        abort (); /* must survive a round trip */
       g_bytes_unref (again);
     }
   lc_control_state_finish (&state);
@@ -62,10 +62,10 @@
 
   if (raft->commit_index > last || raft->stable_index > last ||
       raft->applied_index > raft->commit_index || raft->base_index > last)
-    abort (); /* the log's places are in order */
+    abort (); /* the log's indices are out of order */
 }
 
-/* Carries out what the message led to, as a task would. */
+/* Completes all pending output, as the control task would. */
 static void
 lc_fuzz__serve (LcRaft *raft, int64_t now_us)
 {
@@ -86,11 +86,11 @@
     lc_raft_message_finish (&out);
 }
 
-/* A row of messages, each with a length of two bytes before it. */
+/* A sequence of messages, each after its length in two bytes. */
 static void
 lc_fuzz__messages (const uint8_t *bytes, size_t len)
 {
-  LcRaftDesc desc = { .id = ME, .seed = 1 };
+  LcRaftDesc desc = { .id = SELF_ID, .seed = 1 };
   int64_t now_us = 1000000;
   LcRaft raft;
 
@@ -109,7 +109,7 @@
 
       if (lc_raft_message_unpack (&message, &envelope, bytes + 2, MIN (n, len - 2), NULL) == 0)
         {
-          message.to = ME;
+          message.to = SELF_ID;
           lc_raft_receive (&raft, &message, now_us);
           lc_raft_message_finish (&message);
         }
--- a/fuzz/fuzz-frame.c
+++ b/fuzz/fuzz-frame.c
@@ -1,10 +1,10 @@
-/* Any bytes as a stream of frames, taken as lc-link takes them. */
+/* Fuzzes the frame decoder with a byte stream, decoded as in lc-link. */
 #include "io/lc-frame.h"
 
 #include <stdlib.h>
 
 static int
-is_known (uint16_t type)
+is_known_type (uint16_t type)
 {
   return type == LC_FRAME_LINK_PING || type == LC_FRAME_LINK_PONG ||
          (type >= LC_FRAME_MEMBER_FIRST && type < LC_FRAME_TYPE_END);
@@ -13,13 +13,13 @@
 int
 LLVMFuzzerTestOneInput (const uint8_t *bytes, size_t len)
 {
-  size_t at = 0;
+  size_t offset = 0;
 
-  while (at < len)
+  while (offset < len)
     {
       LcFrame frame;
       LcError error = { 0 };
-      int n = lc_frame_decode (&frame, bytes + at, len - at, &error);
+      int n = lc_frame_decode (&frame, bytes + offset, len - offset, &error);
 
       if (n <= 0)
         {
@@ -27,10 +27,10 @@
             abort ();
           return 0;
         }
-      if ((size_t)n > len - at || frame.payload + frame.payload_len != bytes + at + n ||
-          !is_known (frame.type))
+      if ((size_t)n > len - offset || frame.payload + frame.payload_len != bytes + offset + n ||
+          !is_known_type (frame.type))
         abort ();
-      at += (size_t)n;
+      offset += (size_t)n;
     }
   return 0;
 }
--- a/fuzz/fuzz-packet.c
+++ b/fuzz/fuzz-packet.c
@@ -1,4 +1,4 @@
-/* Any bytes as a datagram on a flow port: a caller's IPv4 packet, an envelope, or a message. */
+/* Fuzzes the flow port's datagrams: a caller's IPv4 packet, an envelope or a flow message. */
 #include "core/flow/lc-envelope.h"
 #include "core/flow/lc-flow-key.h"
 #include "io/lc-flow-wire.h"
@@ -19,7 +19,7 @@
   (void)lc_flow_key_hash (&packet.key);
 }
 
-/* What was decoded must encode to the same bytes. */
+/* A decoded envelope must encode to the same bytes. */
 static void
 lc_fuzz__envelope (const uint8_t *bytes, size_t len)
 {
--- a/fuzz/fuzz-settings.c
+++ b/fuzz/fuzz-settings.c
@@ -1,4 +1,4 @@
-/* Any bytes as a settings file: refused with a remedy and untouched, or taken whole. */
+/* Fuzzes the settings parser: an error has a remedy and changes no setting. */
 #include "io/lc-settings.h"
 
 #include <stdlib.h>
@@ -40,20 +40,20 @@
 LLVMFuzzerTestOneInput (const uint8_t *bytes, size_t len)
 {
   LcFuzzSettings before;
-  LcFuzzSettings got;
+  LcFuzzSettings parsed;
   LcError error = { 0 };
 
   memset (&before, 0x5a, sizeof before);
-  got = before;
-  if (lc_settings_parse (&SCHEMA, &got, (const char *)bytes, len, "fuzz.json", &error) < 0)
+  parsed = before;
+  if (lc_settings_parse (&SCHEMA, &parsed, (const char *)bytes, len, "fuzz.json", &error) < 0)
     {
       if (error.remedy[0] == '\0' || error.message[0] == '\0' ||
-          memcmp (&got, &before, sizeof got) != 0)
+          memcmp (&parsed, &before, sizeof parsed) != 0)
         abort ();
       return 0;
     }
-  if (got.wait_ms > 1000 || got.mode > 1 || got.n_list > 4 ||
-      strnlen (got.name, LC_NAME_MAX) == LC_NAME_MAX)
+  if (parsed.wait_ms > 1000 || parsed.mode > 1 || parsed.n_list > 4 ||
+      strnlen (parsed.name, LC_NAME_MAX) == LC_NAME_MAX)
     abort ();
   return 0;
 }
--- a/fuzz/fuzz-view.c
+++ b/fuzz/fuzz-view.c
@@ -1,4 +1,4 @@
-/* Any bytes as a delta of the view: what is read is applied, snapshotted and applied again. */
+/* Fuzzes view deltas: applies one, then copies the view through its snapshot. */
 #include "io/lc-wire-view.h"
 
 #include <stdlib.h>
@@ -7,7 +7,7 @@
 lc_fuzz__copy (void *user, const LcViewOp *op)
 {
   if (lc_view_apply (user, op, NULL) < 0)
-    abort (); /* a view's own snapshot must always apply */
+    abort (); /* a view's own snapshot must apply */
 }
 
 static void
@@ -21,7 +21,7 @@
       if (lc_wire_view_op_read (&op, delta->ops[i], NULL) == 0)
         (void)lc_view_apply (view, &op, NULL);
       if (view->revision < before)
-        abort (); /* revisions never go back */
+        abort (); /* revisions never decrease */
     }
 }
 
