--- a/models/claim.pml
+++ b/models/claim.pml
@@ -1,21 +1,22 @@
-/* The claim of one key, and what keeps it single while the candidate set changes.
+/* claim: Spin model of the claim protocol: a key runs once while the candidate set changes.
  *
  * WHAT IT IS
- *   Three or four agents, two or three eras, two homes a key.  The sets of the later eras and the homes of each
- *   era are chosen freely, so that sets come back after an agent has joined and left.  Each agent
- *   applies the eras at its own time, becomes whole era by era, claims the key from the homes of
- *   its era one by one, and may run once it has them all; it may give the claim up until it runs.
- *   One agent may die with its memory (one less than the homes).  Two of the agents are owners.
+ *   Three or four agents, two or three eras, two homes per key.  The candidate sets of the later
+ *   eras and the homes of each era are chosen freely, so a set can return after an agent has joined
+ *   and left.  Each agent applies the eras in its own time, completes them one by one, and asks the
+ *   homes of its era one by one for the claim.  It may run the key once all have granted it, and
+ *   may release the claim before it runs.  Agents may die and lose their memory, fewer than there
+ *   are homes.  Two agents are owners.
  *
  * HOW TO RUN IT
  *     spin -a -DAGENTS=3 -DERAS=3 claim.pml && cc -O2 -DSAFETY -DCOLLAPSE -o pan pan.c
  *     ./pan -m500000
- *   The same with -DAGENTS=4 -DERAS=2, where two sets of homes can have none in common; and there
- *   with one rule left out, which must fail:
+ *   Also with -DAGENTS=4 -DERAS=2, where two sets of homes can be disjoint; and there with one
+ *   rule left out, which must fail:
  *     -DNO_FENCE   a source need not have applied the reader's era
  *     -DNO_ERA     homes grant claims of any era
  *     -DNO_READ    a new home does not read
- *     -DONE_HOME   the first home is enough
+ *     -DONE_HOME   one home's grant is enough
  *   -DNO_WALK (an agent reads for its newest era only) does not fail: three agents are too few.
  *   Results are in docs/measurements/request.md.
  */
@@ -31,14 +32,14 @@
 #define HAS(set, a) (((set) >> (a)) & 1)
 
 #ifdef NO_FENCE
-#define FENCED(y, t) true
+#define IS_FENCED(y, t) true
 #else
-#define FENCED(y, t) (view[y] >= t)
+#define IS_FENCED(y, t) (applied[y] >= t)
 #endif
 #ifdef NO_ERA
 #define IS_STALE(a, h) false
 #else
-#define IS_STALE(a, h) (view[h] != claim_era[a])
+#define IS_STALE(a, h) (applied[h] != claim_era[a])
 #endif
 #ifdef NO_READ
 #define MAY_SKIP true
@@ -46,9 +47,9 @@
 #define MAY_SKIP false
 #endif
 #ifdef NO_WALK
-#define NEXT_ERA(a) view[a]
+#define NEXT_ERA(a) applied[a]
 #else
-#define NEXT_ERA(a) whole[a]
+#define NEXT_ERA(a) complete[a]
 #endif
 #ifdef ONE_HOME
 #define IS_CONFIRMED(a) (granted[a] != 0)
@@ -58,12 +59,12 @@
 
 byte members[ERAS];
 byte homes[ERAS];
-byte view[AGENTS];
-byte whole[AGENTS]; /* whole at era whole - 1; 0: at none */
-byte hold[AGENTS];  /* owner + 1 */
+byte applied[AGENTS];  /* newest era applied */
+byte complete[AGENTS]; /* newest era completed + 1; 0: none */
+byte holder[AGENTS];   /* owner + 1, NOBODY or CONTESTED */
 bool alive[AGENTS];
 bool claiming[AGENTS];
-bool ran[AGENTS]; /* the owner's own record: it never runs the key again */
+bool ran[AGENTS]; /* the owner's record: it never runs the key twice */
 byte claim_era[AGENTS];
 byte granted[AGENTS];
 byte deaths;
@@ -81,48 +82,49 @@
   od
 }
 
-inline merge (a, y)
+inline merge_holder (a, y)
 {
   if
-  :: hold[y] == NOBODY || hold[y] == hold[a] -> skip
+  :: holder[y] == NOBODY || holder[y] == holder[a] -> skip
   :: else ->
      if
-     :: hold[a] == NOBODY -> hold[a] = hold[y]
-     :: else -> hold[a] = CONTESTED
+     :: holder[a] == NOBODY -> holder[a] = holder[y]
+     :: else -> holder[a] = CONTESTED
      fi
   fi
 }
 
-/* Agent a becomes whole at era t, from source y where it needs one. */
-inline become_whole (a, t, y)
+/* Agent a completes era t, reading from source y if it needs one. */
+inline complete_era (a, t, y)
 {
   if
-  :: t == 0 || !HAS (members[t], a) || !HAS (homes[t], a) || MAY_SKIP -> whole[a] = t + 1
+  :: t == 0 || !HAS (members[t], a) || !HAS (homes[t], a) || MAY_SKIP -> complete[a] = t + 1
   :: t > 0 && HAS (members[t], a) && HAS (homes[t], a) && alive[y] && HAS (homes[t - 1], y) &&
-     whole[y] >= t && FENCED (y, t) -> merge (a, y); whole[a] = t + 1
+     complete[y] >= t && IS_FENCED (y, t) -> merge_holder (a, y); complete[a] = t + 1
   :: t > 0 && HAS (members[t], a) && HAS (homes[t], a) && alive[y] && y != a &&
-     HAS (homes[t], y) && whole[y] >= t + 1
-     -> merge (a, y); whole[a] = t + 1
+     HAS (homes[t], y) && complete[y] >= t + 1
+     -> merge_holder (a, y); complete[a] = t + 1
   :: else -> skip
   fi
 }
 
-inline ask (a, h)
+inline request_grant (a, h)
 {
   if
   :: !alive[h] -> skip
-  :: alive[h] && (whole[h] < view[h] + 1 || IS_STALE (a, h)) -> claiming[a] = false; granted[a] = 0
+  :: alive[h] && (complete[h] < applied[h] + 1 || IS_STALE (a, h)) ->
+     claiming[a] = false; granted[a] = 0
   :: else ->
      if
-     :: hold[h] == NOBODY || hold[h] == a + 1 ->
-        hold[h] = a + 1;
+     :: holder[h] == NOBODY || holder[h] == a + 1 ->
+        holder[h] = a + 1;
         granted[a] = granted[a] | (1 << h)
      :: else -> claiming[a] = false; granted[a] = 0
      fi
   fi
 }
 
-active proctype world ()
+active proctype system ()
 {
   byte a, y, t;
 
@@ -166,21 +168,24 @@
        if :: y = 0 :: y = 1 :: y = 2 fi;
 #endif
        if
-       :: alive[a] && view[a] < ERAS - 1 ->
-          view[a] = view[a] + 1; claiming[a] = false; granted[a] = 0
-       :: alive[a] && whole[a] < view[a] + 1 ->
+       :: alive[a] && applied[a] < ERAS - 1 ->
+          applied[a] = applied[a] + 1; claiming[a] = false; granted[a] = 0
+       :: alive[a] && complete[a] < applied[a] + 1 ->
           t = NEXT_ERA (a);
-          become_whole (a, t, y)
+          complete_era (a, t, y)
        :: alive[a] && (a == 1 || a == 2) && !claiming[a] && !ran[a] ->
-          claiming[a] = true; claim_era[a] = view[a]; granted[a] = 0
+          claiming[a] = true; claim_era[a] = applied[a]; granted[a] = 0
        :: alive[a] && claiming[a] && HAS (homes[claim_era[a]], y) && !HAS (granted[a], y) ->
-          ask (a, y)
-       :: alive[a] && claiming[a] && IS_CONFIRMED (a) -> runs = runs + 1; assert (runs < 2); ran[a] = true; claiming[a] = false; granted[a] = 0
-       :: alive[a] && claiming[a] && alive[y] && hold[y] == a + 1 ->
-          /* gives the claim up: from now on it can't use what it was granted */
-          hold[y] = NOBODY; claiming[a] = false; granted[a] = 0
+          request_grant (a, y)
+       :: alive[a] && claiming[a] && IS_CONFIRMED (a) ->
+          runs = runs + 1; assert (runs < 2);
+          ran[a] = true; claiming[a] = false; granted[a] = 0
+       :: alive[a] && claiming[a] && alive[y] && holder[y] == a + 1 ->
+          /* releases the claim, and with it every grant */
+          holder[y] = NOBODY; claiming[a] = false; granted[a] = 0
        :: alive[a] && deaths < HOMES - 1 ->
-          alive[a] = false; claiming[a] = false; granted[a] = 0; hold[a] = NOBODY; deaths = deaths + 1
+          alive[a] = false; claiming[a] = false; granted[a] = 0; holder[a] = NOBODY;
+          deaths = deaths + 1
        :: else -> skip
        fi;
        a = 0; y = 0; t = 0
