--- a/demo/backend.c
+++ b/demo/backend.c
@@ -1,24 +1,25 @@
-/* lychee-demo-backend: a stand-in for one backend server of the demo and the tests.
+/* lychee-demo-backend: a mock backend server for the demo and the tests.
  *
  * WHAT IT IS
  *   An order desk, ticket vault, ledger or statements service on one address: HTTP through h2o and
- *   a feed over UDP.  It is a test fixture: it counts what it ran so that a check can be made.
+ *   a feed over UDP.  It counts runs, datagrams and flows for the checks.
  *
  * HTTP
- *   POST /orders, /transfers         runs once a call; answers key, server, run number, length
+ *   POST /orders, /transfers         one run per call; answers key, server, run number, length
  *   GET  /orders/ID, /transfers/ID   a small answer that names the id and the server
  *   GET  /tickets/N, /statements/N   an archive of N KiB; header x-sha256 is its checksum
- *   GET  /runs, /runs/KEY            what was run: total, keys, most runs of one key
+ *   GET  /runs                       runs in total, distinct keys, most runs of one key
+ *   GET  /runs/KEY                   runs of one key
  *   GET  /feed                       datagrams answered, flows seen
- *   GET  /load, /healthz             as a backend server's own; POST /mode/WORD changes them:
+ *   GET  /load, /healthz             load report and health check, changed by POST /mode/MODE:
  *                                    ok, lag (a report 5 s old), freeze (no answer), lie (idle)
  *
  * WORK
- *   `slots` requests run at once, each for the service time; more are refused with 503 and
- *   retry-after, before anything ran (header x-not-run).  A POST counts as run when it starts.
+ *   `slots` requests are served at once, each for the service time; more are refused with 503
+ *   before they run (retry-after, x-not-run).  A POST counts as run when its service time is over.
  *
  * FEED
- *   A datagram "FLOW SEQ" is answered to its sender as "SERVER FLOW SEQ".
+ *   A datagram "FLOW SEQ" is answered with "SERVER FLOW SEQ".
  */
 #include "io/lc-app.h"
 #include "io/lc-clock.h"
@@ -58,7 +59,7 @@
   LcSocketAddress feed;
   uint32_t slots;
   uint32_t service_ms;
-  char journal[256]; /* every run is a line there; empty: none */
+  char journal[256]; /* a line for each run; empty: none */
 } LcBackendSettings;
 
 typedef struct
@@ -70,18 +71,18 @@
   h2o_socket_t *feed;
   LcBackendMode mode;
   uint32_t busy;
-  uint32_t busy_history[LC_BACKEND_LAG_S]; /* one a second, for the lagging report */
+  uint32_t busy_history[LC_BACKEND_LAG_S]; /* one per second, for LC_BACKEND_LAG */
   uint32_t second_index;
   uint64_t runs;
   uint64_t shed;
   uint64_t most_runs;
   int journal_fd;          /* -1: none */
   GHashTable *runs_by_key; /* key -> count */
-  GHashTable *flows;       /* token -> itself */
+  GHashTable *flows;       /* set of FLOW */
   uint64_t datagrams;
 } LcBackend;
 
-/* One request that holds a slot; lives in h2o's pool of the request. */
+/* One request that holds a slot; allocated in the request's h2o pool. */
 typedef struct
 {
   LcBackend *backend;
@@ -150,7 +151,7 @@
   return h2o_memis (req->method.base, req->method.len, method, strlen (method));
 }
 
-/* Keys and ids go into JSON as they came; anything that would need escaping is replaced. */
+/* Keys and ids go into JSON unescaped: replaces characters that would need escaping. */
 static void
 lc_backend__clean (char *text)
 {
@@ -161,7 +162,7 @@
 
 /* === work =================================================================================== */
 
-/* One write a line, so that a kill leaves whole lines of every run that began. */
+/* One write per line: a kill leaves whole lines of all counted runs. */
 static void
 lc_backend__note_run (LcBackend *b, const char *key)
 {
@@ -269,7 +270,7 @@
     lc_backend__answer_read (job->backend, job->req);
 }
 
-/* Also when the connection closes before the answer: the slot is free again. */
+/* Frees the slot, also when the connection closes before the answer. */
 static void
 lc_backend__dispose_job (void *data)
 {
@@ -378,7 +379,7 @@
   if (!is_load && !is_health)
     return false;
   if (b->mode == LC_BACKEND_FREEZE)
-    return true; /* h2o frees the request when its caller gives up */
+    return true; /* h2o frees the request when its caller disconnects */
   if (is_load)
     lc_backend__send_load (b, req);
   else
@@ -538,14 +539,14 @@
   struct arg_file *journal = arg_file0 (NULL, "journal", "FILE", "append a line for each run");
   struct arg_end *end = arg_end (8);
   void *table[] = { name, http, feed, slots, service, journal, end };
-  bool is_right;
+  bool is_valid;
 
   slots->ival[0] = 4;
   service->ival[0] = 5;
-  is_right = arg_parse (argc, argv, table) == 0 && slots->ival[0] > 0 && service->ival[0] >= 0 &&
+  is_valid = arg_parse (argc, argv, table) == 0 && slots->ival[0] > 0 && service->ival[0] >= 0 &&
              lc_settings_parse_address (http->sval[0], &s->http) == 0 &&
              lc_settings_parse_address (feed->sval[0], &s->feed) == 0;
-  if (is_right)
+  if (is_valid)
     {
       (void)g_strlcpy (s->name, name->sval[0], sizeof s->name);
       s->slots = (uint32_t)slots->ival[0];
@@ -560,7 +561,7 @@
       arg_print_syntax (stderr, table, "\n");
     }
   arg_freetable (table, G_N_ELEMENTS (table));
-  return is_right;
+  return is_valid;
 }
 
 int
--- a/demo/feed.c
+++ b/demo/feed.c
@@ -1,18 +1,19 @@
-/* lychee-demo-feed: callers of a UDP feed and the fabric that sprays their packets.
+/* lychee-demo-feed: generates the traffic of a UDP feed's callers, sprayed by the fabric.
  *
  * WHAT IT IS
- *   Opens one UDP socket a flow on one caller address.  Each packet of a flow is built as a raw
- *   IPv4 and UDP packet from that socket's address to the service's address and handed, inside a
- *   UDP datagram, to a balancer chosen at random (seeded) from a file.  Answers come back to the
- *   flow's socket as "SERVER FLOW SEQ"; all answers of a flow must name one server.
+ *   Opens one UDP socket per flow on one caller address.  Each packet of a flow is a raw IPv4/UDP
+ *   packet from that socket's address to the service's, sent in a UDP datagram to a balancer
+ *   chosen at random (seeded) from a file.  Answers reach the flow's socket as "SERVER FLOW SEQ";
+ *   all answers of a flow must name one server.
  *
  * BALANCER FILE
- *   One "a.b.c.d:port" a line; read again whenever it changes, so that balancers come and go.
+ *   One "a.b.c.d:port" per line; read again whenever it changes.
  *
  * OUTPUT
- *   One JSON line a second and a last one with "final":true: flows, packets, answered, lost,
- *   broken_flows (answers of two servers), silent_flows (nothing answered in the last second),
- *   longest_gap_ms, servers (how many flows each holds).  Exit 0 when no flow is broken or silent.
+ *   One JSON line per second and a last one with "final":true: flows, packets, answered, lost,
+ *   broken_flows (answered by two servers, or with another flow's answer), silent_flows (no answer
+ *   in the last second of sending), longest_gap_ms, servers (flows of each).  Exit 0 when no flow
+ *   is broken or silent.
  */
 #include "lc-caller-packet.h"
 
@@ -57,7 +58,7 @@
   int64_t last_answer_us;
   int64_t longest_gap_us;
   bool is_broken;
-  char server[LC_NAME_MAX]; /* the first that answered */
+  char server[LC_NAME_MAX]; /* that answered first */
 } LcFeedFlow;
 
 typedef struct
@@ -158,7 +159,7 @@
     return;
   if (flow->server[0] == '\0')
     (void)g_strlcpy (flow->server, server, sizeof flow->server);
-  /* An answer for another flow or of another server breaks the flow for its caller. */
+  /* Another flow's answer, or another server's, breaks the flow. */
   if (!flow->is_broken && (strcmp (flow->server, server) != 0 || port != flow->port))
     {
       flow->is_broken = true;
@@ -282,7 +283,7 @@
   return 0;
 }
 
-/* Flows take turns within an interval, so that packets are spread over it. */
+/* Flows send in turn, to spread packets over the interval. */
 static int64_t
 lc_feed__run (LcFeed *feed)
 {
@@ -293,15 +294,15 @@
   int64_t step_us = (int64_t)s->interval_ms * LC_US_PER_MS / s->n_flows;
   int64_t next_us = start_us;
   int64_t now_us = start_us;
-  uint32_t at = 0;
+  uint32_t next = 0;
 
   while (!lc_feed__stop && now_us < end_us)
     {
       lc_feed__read_balancers (feed);
       for (uint32_t n = 0; next_us <= now_us && n < s->n_flows; n++)
         {
-          lc_feed__spray (feed, &feed->flows[at]);
-          at = (at + 1) % s->n_flows;
+          lc_feed__spray (feed, &feed->flows[next]);
+          next = (next + 1) % s->n_flows;
           next_us += step_us;
         }
       next_us = MAX (next_us, now_us - LC_US_PER_S);
@@ -328,17 +329,17 @@
   struct arg_int *seed = arg_int0 (NULL, "seed", "N", "of the fabric's choices (1)");
   struct arg_end *end = arg_end (8);
   void *table[] = { service, source, balancers, flows, interval, seconds, seed, end };
-  bool is_right;
+  bool is_valid;
 
   flows->ival[0] = 60;
   interval->ival[0] = 50;
   seconds->ival[0] = 60;
   seed->ival[0] = 1;
-  is_right = arg_parse (argc, argv, table) == 0 && flows->ival[0] > 0 &&
+  is_valid = arg_parse (argc, argv, table) == 0 && flows->ival[0] > 0 &&
              flows->ival[0] <= LC_FEED_MAX_FLOWS && interval->ival[0] > 0 && seconds->ival[0] > 0 &&
              lc_settings_parse_address (service->sval[0], &s->service) == 0 &&
              lc_settings_parse_ipv4 (source->sval[0], &s->source_ipv4) == 0;
-  if (is_right)
+  if (is_valid)
     {
       (void)g_strlcpy (s->balancers_path, balancers->filename[0], sizeof s->balancers_path);
       s->n_flows = (uint32_t)flows->ival[0];
@@ -353,7 +354,7 @@
       arg_print_syntax (stderr, table, "\n");
     }
   arg_freetable (table, G_N_ELEMENTS (table));
-  return is_right;
+  return is_valid;
 }
 
 int
--- a/demo/lc-caller-packet.c
+++ b/demo/lc-caller-packet.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 _Static_assert(sizeof (struct iphdr) + sizeof (struct udphdr) == LC_CALLER_HEADERS_BYTES,
-               "headers without options");
+               "IPv4 and UDP headers without options");
 
 static uint16_t
 lc_caller_packet__checksum (const void *bytes, size_t len)
--- a/demo/lc-caller-packet.h
+++ b/demo/lc-caller-packet.h
@@ -1,4 +1,4 @@
-/* lc-caller-packet: the raw IPv4 and UDP packet of a caller, as the fabric hands it to a balancer.
+/* lc-caller-packet: builds a caller's raw IPv4/UDP packet, as the fabric sends it to a balancer.
  *
  * HOW TO USE IT
  *     uint8_t packet[LC_CALLER_PACKET_MAX];
@@ -6,7 +6,7 @@
  *     sendto (fabric_fd, packet, len, 0, balancer, ...);
  *
  * LIMITS
- *   A text over LC_CALLER_TEXT_MAX bytes is cut.  The UDP checksum is left 0, which IPv4 allows.
+ *   Text beyond LC_CALLER_TEXT_MAX bytes is cut off.  The UDP checksum is left 0, which IPv4 allows.
  */
 #ifndef LC_CALLER_PACKET_H
 #define LC_CALLER_PACKET_H
@@ -20,7 +20,7 @@
   LC_CALLER_PACKET_MAX = LC_CALLER_HEADERS_BYTES + LC_CALLER_TEXT_MAX,
 };
 
-/* Writes the packet and returns its length; `packet` has LC_CALLER_PACKET_MAX bytes. */
+/* Returns the packet's length; `packet` has room for LC_CALLER_PACKET_MAX bytes. */
 size_t lc_caller_packet_build (uint8_t *packet,
                                const LcSocketAddress *source,
                                const LcSocketAddress *service,
--- a/demo/lib.sh
+++ b/demo/lib.sh
@@ -1,4 +1,4 @@
-# Shell functions of the demo that know nothing of its site: steps, checks, processes.
+# Shell functions that don't depend on the demo's deployment: steps, checks, processes.
 
 declare -A pids=()
 n_checks=0
@@ -6,10 +6,10 @@
 demo_started=$SECONDS
 
 step() { printf '\n== %s\n' "$1"; }
-say() { printf '   %s\n' "$1"; }
+note() { printf '   %s\n' "$1"; }
 show() { sed 's/^/   | /'; }
 
-# check TEXT COMMAND...: runs the command; its success is the check.
+# check TEXT COMMAND...: passes if the command succeeds.
 check() {
   local text=$1
   shift
@@ -23,8 +23,8 @@
   fi
 }
 
-# holds_within SECONDS COMMAND...: tries the command until it succeeds.
-holds_within() {
+# succeeds_within SECONDS COMMAND...: retries the command until it succeeds.
+succeeds_within() {
   local deadline=$((SECONDS + $1))
   shift
   until "$@"; do
@@ -33,21 +33,21 @@
   done
 }
 
-# wait_for TEXT SECONDS COMMAND...: a check that may take a while; the bound is for liveness only.
+# wait_for TEXT SECONDS COMMAND...: a check that retries; the bound only keeps it from hanging.
 wait_for() {
   local text=$1
   shift
-  check "$text" holds_within "$@"
+  check "$text" succeeds_within "$@"
 }
 
-# need TEXT COMMAND...: as wait_for, but the demo can't go on without it.
-need() { wait_for "$@" || exit 1; }
+# require TEXT SECONDS COMMAND...: as wait_for, but a failure ends the demo.
+require() { wait_for "$@" || exit 1; }
 
-# start NAME COMMAND...: in the background, with a log of its own.
+# start NAME COMMAND...: in the background, with its own output and log.
 start() {
   local name=$1
   shift
-  "$@" >"$here/$name.out" 2>"$here/$name.log" &
+  "$@" >"$work_dir/$name.out" 2>"$work_dir/$name.log" &
   pids[$name]=$!
 }
 
@@ -59,14 +59,14 @@
   for name in "$@"; do kill -TERM "${pids[$name]}" 2>/dev/null; done
   for name in "$@"; do
     if ! reap "$name" 40; then
-      say "$name did not stop as it should (exit ${last_exit})"
+      note "$name did not stop as it should (exit ${last_exit})"
       bad=1
     fi
   done
   return $bad
 }
 
-# reap NAME SECONDS: waits for a process that was told to end; its exit code is in last_exit.
+# reap NAME SECONDS: waits for a process, then kills it; its exit code is in last_exit.
 reap() {
   local name=$1 deadline=$((SECONDS + $2)) pid=${pids[$1]}
   while kill -0 "$pid" 2>/dev/null && [ "$SECONDS" -lt "$deadline" ]; do sleep 0.05; done
@@ -83,7 +83,7 @@
   [ "$last_exit" -eq 0 ]
 }
 
-# json FIELD: one value of the JSON on standard input, by a Python expression on d.
+# json EXPRESSION: evaluates a Python expression on d, the JSON from standard input.
 json() { python3 -c 'import json,sys; d=json.load(sys.stdin); print(eval(sys.argv[1]))' "$1" 2>/dev/null; }
 
 demo_end() {
@@ -96,9 +96,9 @@
   done
   wait 2>/dev/null
   if [ "$code" -eq 0 ] && [ -z "${DEMO_KEEP:-}" ]; then
-    rm -rf "$here"
+    rm -rf "$work_dir"
   else
-    printf '\nSettings and logs: %s\n' "$here"
+    printf '\nSettings and logs: %s\n' "$work_dir"
   fi
   exit "$code"
 }
--- a/demo/site.sh
+++ b/demo/site.sh
@@ -1,5 +1,5 @@
-# The Authority's site of the demo: who stands where, their settings, and the steps on them.
-# Address of a VM: 127.<base>.<data centre>.<VM>.
+# The demo's deployment: its VMs, their settings, and the demo's steps.
+# A VM is NAME:DATA-CENTRE:OCTET[:SERVICE]; its address: 127.<base>.<data centre>.<octet>.
 
 dcs=(hall-atl hall-bhm hall-jax)
 declare -A dc_octet=([hall-atl]=1 [hall-bhm]=2 [hall-jax]=3)
@@ -13,7 +13,7 @@
   vault-bhm-1:hall-bhm:41:ticket-vault vault-jax-1:hall-jax:41:ticket-vault)
 feed_address=127.$base.100.1
 caller_address=127.$base.200.1
-new_caller_address=127.$base.200.2 # a port used again on one address would be the old flow
+new_caller_address=127.$base.200.2 # on the old address a reused port would be the old flow
 feed_port=5000
 
 field() { cut -d: -f"$2" <<<"$1"; }
@@ -23,7 +23,7 @@
   python3 -c 'import socket; socket.socket(socket.AF_INET, socket.SOCK_RAW, socket.IPPROTO_RAW)' 2>/dev/null
 }
 
-# quoted PORT VM...: "a.b.c.d:port", ... of VMs
+# quoted PORT VM...: prints "a.b.c.d:port", ...
 quoted() {
   local port=$1 vm out=
   shift
@@ -38,15 +38,15 @@
 control_settings() {
   local vm=$1 name
   name=$(field "$vm" 1)
-  mkdir -p "$here/data/$name"
-  cat >"$here/$name.json" <<JSON
+  mkdir -p "$work_dir/data/$name"
+  cat >"$work_dir/$name.json" <<JSON
 { "name": "$name", "data_centre": "$(field "$vm" 2)", "address": "$(address_of "$vm")",
-  "data_folder": "$here/data/$name", "members": [$(quoted 7000 "${controls[@]}")] }
+  "data_folder": "$work_dir/data/$name", "members": [$(quoted 7000 "${controls[@]}")] }
 JSON
 }
 
 balancer_settings() {
-  cat >"$here/$(field "$1" 1).json" <<JSON
+  cat >"$work_dir/$(field "$1" 1).json" <<JSON
 { "name": "$(field "$1" 1)", "data_centre": "$(field "$1" 2)", "address": "$(address_of "$1")",
   "control": [$(quoted 7000 "${controls[@]}")] }
 JSON
@@ -55,17 +55,17 @@
 agent_settings() {
   local vm=$1 near=() b
   for b in "${balancers[@]}"; do [ "$(field "$b" 2)" = "$(field "$vm" 2)" ] && near+=("$b"); done
-  cat >"$here/agent-$(field "$vm" 1).json" <<JSON
+  cat >"$work_dir/agent-$(field "$vm" 1).json" <<JSON
 { "name": "$(field "$vm" 1)", "data_centre": "$(field "$vm" 2)", "service": "$(field "$vm" 4)",
   "address": "$(address_of "$vm")", "balancers": [$(quoted 7000 "${near[@]}")],
-  "data_folder": "$here/claims-$(field "$vm" 1)",
+  "data_folder": "$work_dir/claims-$(field "$vm" 1)",
   "backend": { "http": "$(address_of "$vm"):8000", "feed": "$(address_of "$vm"):8001" },
   "delivery": "$delivery", "ramp_ms": 1000, "udp_idle_ms": 3000 }
 JSON
 }
 
 market_settings() {
-  cat >"$here/market.json" <<JSON
+  cat >"$work_dir/market.json" <<JSON
 { "data_centres": [{ "name": "hall-atl", "region": "southeast" }, { "name": "hall-bhm", "region": "southeast" },
                    { "name": "hall-jax", "region": "southeast" }],
   "services": [
@@ -86,31 +86,31 @@
   for vm in "${balancers[@]}" "$new_balancer"; do balancer_settings "$vm"; done
   for vm in "${backends[@]}"; do agent_settings "$vm"; done
   market_settings
-  say "settings in $here; packets reach the backend servers by $delivery"
+  note "settings in $work_dir; packets reach the backend servers by $delivery"
 }
 
 # --- processes ---------------------------------------------------------------------------------
 
-start_control() { start "$1" "$build/src/control/lychee-control" --settings "$here/$1.json"; }
+start_control() { start "$1" "$build/src/control/lychee-control" --settings "$work_dir/$1.json"; }
 start_balancer() {
   local name
   name=$(field "$1" 1)
-  start "$name" "$build/src/balancer/lychee-balancer" --settings "$here/$name.json"
+  start "$name" "$build/src/balancer/lychee-balancer" --settings "$work_dir/$name.json"
 }
 start_backend() {
   local name
   name=$(field "$1" 1)
   start "server-$name" "$build/demo/lychee-demo-backend" --name "$name" \
     --http "$(address_of "$1"):8000" --feed "$(address_of "$1"):8001" --service-ms 5
-  start "agent-$name" "$build/src/agent/lychee-agent" --settings "$here/agent-$name.json"
+  start "agent-$name" "$build/src/agent/lychee-agent" --settings "$work_dir/agent-$name.json"
 }
 
 write_balancer_files() {
   local vm
-  for vm in "$@"; do echo "$(address_of "$vm"):7100"; done >"$here/flow-balancers.new"
-  for vm in "$@"; do echo "http://$(address_of "$vm"):8080"; done >"$here/http-balancers.new"
-  mv "$here/flow-balancers.new" "$here/flow-balancers"
-  mv "$here/http-balancers.new" "$here/http-balancers"
+  for vm in "$@"; do echo "$(address_of "$vm"):7100"; done >"$work_dir/flow-balancers.new"
+  for vm in "$@"; do echo "http://$(address_of "$vm"):8080"; done >"$work_dir/http-balancers.new"
+  mv "$work_dir/flow-balancers.new" "$work_dir/flow-balancers"
+  mv "$work_dir/http-balancers.new" "$work_dir/http-balancers"
 }
 
 start_all() {
@@ -119,7 +119,7 @@
   for vm in "${balancers[@]}"; do start_balancer "$vm"; done
   for vm in "${backends[@]}"; do start_backend "$vm"; done
   write_balancer_files "${balancers[@]}"
-  say "${#pids[@]} processes started"
+  note "${#pids[@]} processes started"
 }
 
 # --- control -----------------------------------------------------------------------------------
@@ -134,31 +134,31 @@
   [ "$(status_json | json 'sum(e["state"] == "active" for e in d["endpoints"])')" = 10 ]
 }
 
-# plan_and_confirm ARGUMENTS OF plan...: shows the plan, confirms it, waits until it is in force.
+# plan_and_confirm PLAN-ARGUMENT...: shows the plan, confirms it, waits until it is in force.
 plan_and_confirm() {
   local id
-  lychee plan "$@" --control "$control_list" >"$here/plan.txt" || return 1
-  show <"$here/plan.txt"
-  id=$(sed -n 's/.*lychee confirm \([^ ]*\).*/\1/p' "$here/plan.txt" | head -1)
+  lychee plan "$@" --control "$control_list" >"$work_dir/plan.txt" || return 1
+  show <"$work_dir/plan.txt"
+  id=$(sed -n 's/.*lychee confirm \([^ ]*\).*/\1/p' "$work_dir/plan.txt" | head -1)
   [ -n "$id" ] || return 1
-  say "lychee confirm $id --wait"
-  lychee confirm "$id" --wait --control "$control_list" >"$here/confirm.txt" || return 1
-  show <"$here/confirm.txt"
+  note "lychee confirm $id --wait"
+  lychee confirm "$id" --wait --control "$control_list" >"$work_dir/confirm.txt" || return 1
+  show <"$work_dir/confirm.txt"
 }
 
 open_market() {
-  say "lychee plan open-market --file market.json"
+  note "lychee plan open-market --file market.json"
   check "the plan was shown and its confirm put it in force" \
-    plan_and_confirm open-market --file "$here/market.json" || exit 1
+    plan_and_confirm open-market --file "$work_dir/market.json" || exit 1
 }
 
 # --- requests ----------------------------------------------------------------------------------
 
-nth_balancer() { sed -n "$((($1 % $(wc -l <"$here/http-balancers")) + 1))p" "$here/http-balancers"; }
+nth_balancer() { sed -n "$((($1 % $(wc -l <"$work_dir/http-balancers")) + 1))p" "$work_dir/http-balancers"; }
 
-# order KEY BALANCER_URL: body in $here/answer.KEY, status printed.
+# order KEY BALANCER_URL: prints the status; the body is in answer.KEY.
 order() {
-  curl -s -m 10 -o "$here/answer.$1" -w '%{http_code}' -X POST -H "Idempotency-Key: $1" \
+  curl -s -m 10 -o "$work_dir/answer.$1" -w '%{http_code}' -X POST -H "Idempotency-Key: $1" \
     -H 'Content-Type: application/json' -d '{"uplift_l":4200}' "$2/orders"
 }
 runs_of() {
@@ -175,16 +175,16 @@
   while read -r url; do
     i=$((i + 1))
     [ "$(order "first-$i" "$url")" = 200 ] || return 1
-    [ "$(json 'd["key"]' <"$here/answer.first-$i")" = "first-$i" ] || return 1
-    [[ "$(json 'd["server"]' <"$here/answer.first-$i")" == desk-* ]] || return 1
-  done <"$here/http-balancers"
+    [ "$(json 'd["key"]' <"$work_dir/answer.first-$i")" = "first-$i" ] || return 1
+    [[ "$(json 'd["server"]' <"$work_dir/answer.first-$i")" == desk-* ]] || return 1
+  done <"$work_dir/http-balancers"
 }
 one_archive_each() {
   local url sum
   while read -r url; do
-    sum=$(curl -s -m 10 -D "$here/archive.head" "$url/tickets/2000" | sha256sum | cut -d' ' -f1)
-    grep -qi "x-sha256: $sum" "$here/archive.head" || return 1
-  done <"$here/http-balancers"
+    sum=$(curl -s -m 10 -D "$work_dir/archive.head" "$url/tickets/2000" | sha256sum | cut -d' ' -f1)
+    grep -qi "x-sha256: $sum" "$work_dir/archive.head" || return 1
+  done <"$work_dir/http-balancers"
 }
 
 check_requests() {
@@ -194,62 +194,62 @@
 
 resend_gets_first_answer() {
   [ "$(order resend-1 "$(nth_balancer 0)")" = 200 ] || return 1
-  cp "$here/answer.resend-1" "$here/answer.first"
+  cp "$work_dir/answer.resend-1" "$work_dir/answer.first"
   [ "$(order resend-1 "$(nth_balancer 2)")" = 200 ] || return 1
-  cmp -s "$here/answer.first" "$here/answer.resend-1"
+  cmp -s "$work_dir/answer.first" "$work_dir/answer.resend-1"
 }
 ran_once() { [ "$(runs_of "$1")" = 1 ]; }
 check_resend() {
   check "the same Idempotency-Key through another balancer got the first answer" resend_gets_first_answer
-  show <"$here/answer.resend-1"
+  show <"$work_dir/answer.resend-1"
   check "the backend servers counted one run of it" ran_once resend-1
 }
 
-# --- a stream of orders while things change ------------------------------------------------------
+# --- orders during the changes -----------------------------------------------------------------
 
-# One caller: sends orders one after another; asks again with the same key through the next balancer
-# until it is answered, as a dispatcher would.
+# One caller: sends orders one after another; retries each, up to 8 attempts, with the same key
+# through the next balancer, as a dispatcher would.
 order_caller() {
-  local caller=$1 n=0 try code key
-  while [ ! -e "$here/orders.stop" ]; do
+  local caller=$1 n=0 attempt code key
+  while [ ! -e "$work_dir/orders.stop" ]; do
     n=$((n + 1))
     key="order-$caller-$n"
-    for try in 0 1 2 3 4 5 6 7; do
-      code=$(order "$key" "$(nth_balancer $((n + caller + try)))")
-      echo "$key $try $code" >>"$here/orders.$caller"
+    for attempt in 0 1 2 3 4 5 6 7; do
+      code=$(order "$key" "$(nth_balancer $((n + caller + attempt)))")
+      echo "$key $attempt $code" >>"$work_dir/orders.$caller"
       [ "$code" = 200 ] && break
       sleep 0.2
     done
-    rm -f "$here/answer.$key.kept"
-    mv "$here/answer.$key" "$here/answer.$key.kept" 2>/dev/null
+    rm -f "$work_dir/answer.$key.kept"
+    mv "$work_dir/answer.$key" "$work_dir/answer.$key.kept" 2>/dev/null
   done
 }
 
 orders_begin() {
   local i
-  rm -f "$here/orders.stop"
+  rm -f "$work_dir/orders.stop"
   for i in 1 2 3 4; do
     order_caller "$i" &
     pids[orders-$i]=$!
   done
-  say "four callers send orders from now on, asking again with the same key when refused"
+  note "four callers send orders from now on, asking again with the same key when refused"
 }
 
 orders_end() {
   local i
-  touch "$here/orders.stop"
+  touch "$work_dir/orders.stop"
   for i in 1 2 3 4; do reap "orders-$i" 60; done
 }
 
 no_order_lost() {
-  python3 - "$here" <<'PY'
+  python3 - "$work_dir" <<'PY'
 import glob, json, sys
-here, keys, done = sys.argv[1], set(), set()
-for name in glob.glob(here + "/orders.[1-4]"):
+folder, keys, done = sys.argv[1], set(), set()
+for name in glob.glob(folder + "/orders.[1-4]"):
     for line in open(name):
         key, attempt, code = line.split()
         keys.add(key)
-        if code == "200" and json.load(open(f"{here}/answer.{key}.kept"))["key"] == key:
+        if code == "200" and json.load(open(f"{folder}/answer.{key}.kept"))["key"] == key:
             done.add(key)
 print(f"   orders {len(keys)}, answered whole {len(done)}")
 for key in sorted(keys - done)[:5]:
@@ -264,7 +264,7 @@
     most=$(curl -s -m 5 "http://$(address_of "$vm"):8000/runs" | json 'd["most_runs_of_a_key"]')
     [ -n "$most" ] && [ "$most" -le 1 ] || return 1
   done
-  [ "$(total_runs)" = "$(($(cat "$here"/orders.[1-4] | cut -d' ' -f1 | sort -u | wc -l) + 4 + 1))" ]
+  [ "$(total_runs)" = "$(($(cat "$work_dir"/orders.[1-4] | cut -d' ' -f1 | sort -u | wc -l) + 4 + 1))" ]
 }
 total_runs() {
   local vm total=0
@@ -277,17 +277,17 @@
 check_orders() {
   check "no order was lost: each was answered whole, by its own key" no_order_lost
   check "no order ran twice: as many runs as orders" none_run_twice
-  say "$(cat "$here"/orders.[1-4] | awk '$3 != 200' | wc -l) answers were not 200 and were asked again"
+  note "$(cat "$work_dir"/orders.[1-4] | awk '$3 != 200' | wc -l) answers were not 200 and were asked again"
 }
 
 # --- the feed ----------------------------------------------------------------------------------
 
 start_feed() {
   start feed "$build/demo/lychee-demo-feed" --service "$feed_address:$feed_port" \
-    --source "$caller_address" --balancers "$here/flow-balancers" --flows 60 --interval-ms 50 \
+    --source "$caller_address" --balancers "$work_dir/flow-balancers" --flows 60 --interval-ms 50 \
     --seconds 300 --seed 7
 }
-feed_last() { grep -v '"final":true' "$here/feed.out" | tail -1; }
+feed_last() { grep -v '"final":true' "$work_dir/feed.out" | tail -1; }
 feed_is_whole() {
   [ "$(feed_last | json 'd["broken_flows"] == 0 and d["silent_flows"] == 0 and sum(d["servers"].values()) == d["flows"]')" = True ]
 }
@@ -298,29 +298,29 @@
 check_feed_end() {
   kill -TERM "${pids[feed]}"
   check "no feed broke and none fell silent through all changes" reap feed 10
-  tail -1 "$here/feed.out" | show
+  tail -1 "$work_dir/feed.out" | show
 }
 
 # --- changes -----------------------------------------------------------------------------------
 
 drain_backend() {
   drained=$(feed_last | json 'max(d["servers"], key=d["servers"].get)')
-  say "lychee plan drain $drained"
+  note "lychee plan drain $drained"
   check "the drain was planned, confirmed and is in force" plan_and_confirm drain "$drained"
   sleep 5
   drained_vm=$(printf '%s\n' "${backends[@]}" | grep "^$drained:")
   runs_at_drain=$(drained_runs)
   flows_at_drain=$(drained_flows)
-  say "5 s later $drained had run $runs_at_drain requests and held $flows_at_drain flows"
+  note "5 s later $drained had run $runs_at_drain requests and held $flows_at_drain flows"
 }
 drained_runs() { curl -s -m 5 "http://$(address_of "$drained_vm"):8000/runs" | json 'd["total"]'; }
 drained_flows() { curl -s -m 5 "http://$(address_of "$drained_vm"):8000/feed" | json 'd["flows"]'; }
 new_callers_avoid_it() {
   "$build/demo/lychee-demo-feed" --service "$feed_address:$feed_port" --source "$new_caller_address" \
-    --balancers "$here/flow-balancers" --flows 60 --interval-ms 50 --seconds 2 --seed 8 >"$here/feed-2.out"
+    --balancers "$work_dir/flow-balancers" --flows 60 --interval-ms 50 --seconds 2 --seed 8 >"$work_dir/feed-2.out"
   local code=$?
-  tail -1 "$here/feed-2.out" | show
-  [ "$code" -eq 0 ] && [ "$(tail -1 "$here/feed-2.out" | json "'$drained' in d['servers']")" = False ]
+  tail -1 "$work_dir/feed-2.out" | show
+  [ "$code" -eq 0 ] && [ "$(tail -1 "$work_dir/feed-2.out" | json "'$drained' in d['servers']")" = False ]
 }
 got_no_new_work() {
   [ -n "$runs_at_drain" ] && [ "$(drained_runs)" = "$runs_at_drain" ] && [ "$(drained_flows)" = "$flows_at_drain" ]
@@ -345,12 +345,12 @@
 kill_leader() {
   local leader
   leader=$(status_json | json 'd["leader"]')
-  say "kill -9 $leader"
+  note "kill -9 $leader"
   kill -KILL "${pids[$leader]}"
   wait "${pids[$leader]}" 2>/dev/null
   unset "pids[$leader]"
   killed_control=$leader
-  need "another control VM leads" 30 another_leads
+  require "another control VM leads" 30 another_leads
 }
 another_leads() {
   local now
@@ -359,7 +359,7 @@
 }
 check_change_without_it() {
   local other
-  say "lychee status"
+  note "lychee status"
   lychee status --control "$control_list" | sed -n '/under way/,$p;/^needs/,$p' | uniq | show
   other=$(feed_last | json "sorted(s for s in d['servers'] if s != '$drained')[0]")
   check "a further change is planned and in force: drain of $other" plan_and_confirm drain "$other"
@@ -373,8 +373,8 @@
   check "it counted at least 120 flows, none broken, and every process answered" burn_counts_agree
 }
 burn_reports() {
-  lychee burn --control "$control_list" >"$here/burn.txt" || { show <"$here/burn.txt"; return 1; }
-  show <"$here/burn.txt"
+  lychee burn --control "$control_list" >"$work_dir/burn.txt" || { show <"$work_dir/burn.txt"; return 1; }
+  show <"$work_dir/burn.txt"
 }
 burn_counts_agree() {
   lychee burn --control "$control_list" --service order-desk --json | json \
