--- a/bench/lc-scale-world.c
+++ b/bench/lc-scale-world.c
@@ -197,7 +197,7 @@
   uint64_t bytes = 0;
 
   for (uint32_t i = 0; i < w->n_agents; i++)
-    for (uint32_t k = 0; w->agents[i].is_up && k < LC_MEMBER_MOVING_SLOTS; k++)
+    for (uint32_t k = 0; w->agents[i].is_up && k < LC_MEMBER_DYNAMIC_SLOTS; k++)
       if (w->agents[i].member.slots[k].is_open && w->agents[i].member.slots[k].client.link != NULL)
         bytes += lc_link_bytes_total (w->agents[i].member.slots[k].client.link);
   return bytes;
--- a/demo/backend.c
+++ b/demo/backend.c
@@ -125,7 +125,7 @@
 }
 
 static char *
-lc_backend__header (const h2o_req_t *req, const char *name)
+lc_backend__get_header (const h2o_req_t *req, const char *name)
 {
   ssize_t at = h2o_find_header_by_str (&req->headers, name, strlen (name), -1);
 
@@ -136,7 +136,7 @@
 
 /* The part of the path after `prefix`, or NULL; the caller frees it. */
 static char *
-lc_backend__rest (const h2o_req_t *req, const char *prefix)
+lc_backend__path_after (const h2o_req_t *req, const char *prefix)
 {
   size_t len = strlen (prefix);
 
@@ -153,7 +153,7 @@
 
 /* Keys and ids go into JSON unescaped: replaces characters that would need escaping. */
 static void
-lc_backend__clean (char *text)
+lc_backend__replace_unsafe (char *text)
 {
   for (char *p = text; *p != '\0'; p++)
     if (!g_ascii_isprint (*p) || *p == '"' || *p == '\\')
@@ -164,7 +164,7 @@
 
 /* One write per line: a kill leaves whole lines of all counted runs. */
 static void
-lc_backend__note_run (LcBackend *b, const char *key)
+lc_backend__append_journal (LcBackend *b, const char *key)
 {
   char *line;
 
@@ -184,17 +184,17 @@
   g_hash_table_insert (b->runs_by_key, g_strdup (key), GSIZE_TO_POINTER (n));
   b->runs++;
   b->most_runs = MAX (b->most_runs, n);
-  lc_backend__note_run (b, key);
+  lc_backend__append_journal (b, key);
   return n;
 }
 
 static void
 lc_backend__run_order (LcBackend *b, h2o_req_t *req)
 {
-  char *key = lc_backend__header (req, "idempotency-key");
+  char *key = lc_backend__get_header (req, "idempotency-key");
   uint64_t run;
 
-  lc_backend__clean (key);
+  lc_backend__replace_unsafe (key);
   run = lc_backend__count_run (b, key);
   lc_backend__send (
       req, 200, "{\"key\":\"%s\",\"server\":\"%s\",\"run\":%" G_GUINT64_FORMAT ",\"length\":%zu}\n",
@@ -229,20 +229,20 @@
 static void
 lc_backend__send_order (LcBackend *b, h2o_req_t *req, char *id)
 {
-  lc_backend__clean (id);
+  lc_backend__replace_unsafe (id);
   lc_backend__send (req, 200, "{\"id\":\"%s\",\"server\":\"%s\"}\n", id, b->settings.name);
 }
 
 static void
-lc_backend__answer_read (LcBackend *b, h2o_req_t *req)
+lc_backend__answer_get (LcBackend *b, h2o_req_t *req)
 {
   static const char *const ORDERS[] = { "/orders/", "/transfers/" };
   static const char *const ARCHIVES[] = { "/tickets/", "/statements/" };
 
   for (size_t i = 0; i < G_N_ELEMENTS (ORDERS); i++)
     {
-      char *id = lc_backend__rest (req, ORDERS[i]);
-      char *size = lc_backend__rest (req, ARCHIVES[i]);
+      char *id = lc_backend__path_after (req, ORDERS[i]);
+      char *size = lc_backend__path_after (req, ARCHIVES[i]);
 
       if (id != NULL)
         lc_backend__send_order (b, req, id);
@@ -267,7 +267,7 @@
   if (lc_backend__method_is (job->req, "POST"))
     lc_backend__run_order (job->backend, job->req);
   else
-    lc_backend__answer_read (job->backend, job->req);
+    lc_backend__answer_get (job->backend, job->req);
 }
 
 /* Frees the slot, also when the connection closes before the answer. */
@@ -349,8 +349,8 @@
 static bool
 lc_backend__answer_fixture (LcBackend *b, h2o_req_t *req)
 {
-  char *mode = lc_backend__rest (req, "/mode/");
-  char *runs = lc_backend__rest (req, "/runs");
+  char *mode = lc_backend__path_after (req, "/mode/");
+  char *runs = lc_backend__path_after (req, "/runs");
   bool is_known = true;
 
   if (mode != NULL && lc_backend__method_is (req, "POST"))
@@ -398,7 +398,7 @@
 }
 
 static void
-lc_backend__on_second (void *user)
+lc_backend__record_busy (void *user)
 {
   LcBackend *b = user;
 
@@ -428,7 +428,7 @@
 }
 
 static void
-lc_backend__on_feed (h2o_socket_t *socket, const char *err)
+lc_backend__on_datagrams (h2o_socket_t *socket, const char *err)
 {
   LcBackend *b = socket->data;
   int fd = h2o_socket_get_fd (socket);
@@ -463,7 +463,7 @@
     }
   b->feed = h2o_evloop_socket_create (b->loop, fd, H2O_SOCKET_FLAG_DONT_READ);
   b->feed->data = b;
-  h2o_socket_read_start (b->feed, lc_backend__on_feed);
+  h2o_socket_read_start (b->feed, lc_backend__on_datagrams);
   return 0;
 }
 
@@ -497,7 +497,7 @@
       lc_error_print (stderr, &error);
       return -1;
     }
-  lc_timer_init (&b->second, b->loop, lc_backend__on_second, b);
+  lc_timer_init (&b->second, b->loop, lc_backend__record_busy, b);
   lc_timer_start (&b->second, 1000);
   return lc_backend__open_feed (b);
 }
--- a/demo/feed.c
+++ b/demo/feed.c
@@ -87,7 +87,7 @@
 /* === balancers ============================================================================== */
 
 static void
-lc_feed__read_balancers (LcFeed *feed)
+lc_feed__reload_balancers (LcFeed *feed)
 {
   struct stat status;
   gchar *text = NULL;
@@ -115,7 +115,7 @@
 /* === packets ================================================================================ */
 
 static size_t
-lc_feed__build (const LcFeed *feed, const LcFeedFlow *flow, uint8_t *packet)
+lc_feed__build_packet (const LcFeed *feed, const LcFeedFlow *flow, uint8_t *packet)
 {
   LcSocketAddress source = { feed->settings.source_ipv4, flow->port };
   char text[LC_CALLER_TEXT_MAX];
@@ -126,7 +126,7 @@
 }
 
 static void
-lc_feed__spray (LcFeed *feed, LcFeedFlow *flow)
+lc_feed__send_packet (LcFeed *feed, LcFeedFlow *flow)
 {
   uint8_t packet[LC_CALLER_PACKET_MAX];
   const LcSocketAddress *to;
@@ -140,7 +140,7 @@
   address.sin_addr.s_addr = htonl (to->ipv4);
   address.sin_port = htons (to->port);
   flow->seq++;
-  len = lc_feed__build (feed, flow, packet);
+  len = lc_feed__build_packet (feed, flow, packet);
   (void)sendto (feed->fabric_fd, packet, len, 0, (struct sockaddr *)&address, sizeof address);
   feed->packets++;
 }
@@ -148,7 +148,7 @@
 /* === answers ================================================================================ */
 
 static void
-lc_feed__take_answer (LcFeed *feed, LcFeedFlow *flow, char *text, int64_t now_us)
+lc_feed__record_answer (LcFeed *feed, LcFeedFlow *flow, char *text, int64_t now_us)
 {
   char server[LC_NAME_MAX] = "";
   unsigned seed = 0;
@@ -190,7 +190,7 @@
       while ((len = recv (feed->flows[i].fd, text, sizeof text - 1, MSG_DONTWAIT)) > 0)
         {
           text[len] = '\0';
-          lc_feed__take_answer (feed, &feed->flows[i], text, now_us);
+          lc_feed__record_answer (feed, &feed->flows[i], text, now_us);
         }
     }
 }
@@ -198,7 +198,7 @@
 /* === report ================================================================================= */
 
 static uint32_t
-lc_feed__n_silent (const LcFeed *feed, int64_t sending_until_us)
+lc_feed__count_silent (const LcFeed *feed, int64_t sending_until_us)
 {
   uint32_t n = 0;
 
@@ -246,7 +246,7 @@
       ",\"longest_gap_ms\":%" G_GINT64_FORMAT ",\"servers\":{",
       is_final ? "true" : "false", feed->settings.n_flows, (guint64)feed->packets,
       (guint64)feed->answered, (gint64)(feed->packets - feed->answered), (guint64)feed->broken,
-      lc_feed__n_silent (feed, sending_until_us), (gint64)(gap_us / LC_US_PER_MS));
+      lc_feed__count_silent (feed, sending_until_us), (gint64)(gap_us / LC_US_PER_MS));
   lc_feed__print_servers (feed);
   (void)puts ("}}");
   (void)fflush (stdout);
@@ -298,10 +298,10 @@
 
   while (!lc_feed__stop && now_us < end_us)
     {
-      lc_feed__read_balancers (feed);
+      lc_feed__reload_balancers (feed);
       for (uint32_t n = 0; next_us <= now_us && n < s->n_flows; n++)
         {
-          lc_feed__spray (feed, &feed->flows[next]);
+          lc_feed__send_packet (feed, &feed->flows[next]);
           next = (next + 1) % s->n_flows;
           next_us += step_us;
         }
@@ -380,5 +380,5 @@
   lc_feed__print (&feed, sending_until_us, true);
   g_array_free (feed.balancers, TRUE);
   g_rand_free (feed.random);
-  return feed.broken == 0 && lc_feed__n_silent (&feed, sending_until_us) == 0 ? 0 : 1;
+  return feed.broken == 0 && lc_feed__count_silent (&feed, sending_until_us) == 0 ? 0 : 1;
 }
--- a/demo/lc-caller-packet.h
+++ b/demo/lc-caller-packet.h
@@ -6,7 +6,7 @@
  *     sendto (fabric_fd, packet, len, 0, balancer, ...);
  *
  * LIMITS
- *   Text beyond LC_CALLER_TEXT_MAX bytes is cut off.  The UDP checksum is left 0, which IPv4 allows.
+ *   Text beyond LC_CALLER_TEXT_MAX bytes is cut.  The UDP checksum is left 0, which IPv4 allows.
  */
 #ifndef LC_CALLER_PACKET_H
 #define LC_CALLER_PACKET_H
--- a/fuzz/fuzz-adapter.c
+++ b/fuzz/fuzz-adapter.c
@@ -18,7 +18,7 @@
 lc_fuzz__packet (const uint8_t *bytes, size_t len)
 {
   uint8_t copy[PACKET_MAX];
-  uint8_t reset[LC_PLATFORM_HEAD_BYTES];
+  uint8_t reset[LC_PLATFORM_HEADER_BYTES];
   LcPacket packet;
   LcPacket again;
 
@@ -31,13 +31,13 @@
   if (lc_platform_packet_parse (&again, copy, len) < 0 || again.is_returned ||
       !lc_flow_key_equal (&again.key, &packet.key))
     abort (); /* setting the mark changed the flow */
-  lc_platform_packet_reset (&packet, reset);
+  lc_platform_packet_build_reset (&packet, reset);
   if (lc_platform_packet_parse (&again, reset, sizeof reset) < 0 || !again.is_reset)
     abort ();
 }
 
 static void
-lc_fuzz__call (const char *method, const uint8_t *bytes, size_t len)
+lc_fuzz__backend_report (const char *method, const uint8_t *bytes, size_t len)
 {
   static const char PATH[] = "/instances/i-1";
   LcPlatformCall call = {
@@ -69,7 +69,7 @@
 
   memcpy (path, PATH, sizeof PATH - 1);
   memcpy (path + sizeof PATH - 1, bytes, path_len - (sizeof PATH - 1));
-  if (!lc_platform_evacuation_is (&call))
+  if (!lc_platform_evacuation_is_call (&call))
     abort ();
   if (lc_platform_evacuation_read (&order, &call, &error) < 0)
     {
@@ -81,12 +81,12 @@
 }
 
 static void
-lc_fuzz__report (const uint8_t *bytes, size_t len)
+lc_fuzz__http_calls (const uint8_t *bytes, size_t len)
 {
   lc_fuzz__evacuation ("POST", bytes, len);
   lc_fuzz__evacuation ("DELETE", bytes, len);
-  lc_fuzz__call ("PUT", bytes, len);
-  lc_fuzz__call ("DELETE", bytes, len);
+  lc_fuzz__backend_report ("PUT", bytes, len);
+  lc_fuzz__backend_report ("DELETE", bytes, len);
 }
 
 static void
@@ -119,7 +119,7 @@
       lc_fuzz__packet (bytes + 1, len - 1);
       break;
     case 1:
-      lc_fuzz__report (bytes + 1, len - 1);
+      lc_fuzz__http_calls (bytes + 1, len - 1);
       break;
     default:
       lc_fuzz__declaration (bytes + 1, len - 1);
--- a/fuzz/fuzz-control.c
+++ b/fuzz/fuzz-control.c
@@ -67,7 +67,7 @@
 
 /* Completes all pending output, as the control task would. */
 static void
-lc_fuzz__serve (LcRaft *raft, int64_t now_us)
+lc_fuzz__complete_outputs (LcRaft *raft, int64_t now_us)
 {
   LcRaftSnapshot snapshot;
   LcRaftPersist persist;
@@ -115,7 +115,7 @@
         }
       now_us += 100000;
       lc_raft_tick (&raft, now_us);
-      lc_fuzz__serve (&raft, now_us);
+      lc_fuzz__complete_outputs (&raft, now_us);
       lc_fuzz__check_log (&raft);
       bytes += MIN (n + 2, len);
       len -= MIN (n + 2, len);
@@ -124,7 +124,7 @@
 }
 
 static int
-lc_fuzz__record (void *user, const LcWalRecord *record, LcError *error)
+lc_fuzz__count_record (void *user, const LcWalRecord *record, LcError *error)
 {
   (*(size_t *)user)++;
   return 0;
@@ -136,7 +136,7 @@
   size_t n_whole = 0;
   size_t n_records = 0;
 
-  (void)lc_wal_scan (bytes, len, "wal", true, lc_fuzz__record, &n_records, &n_whole, NULL);
+  (void)lc_wal_scan (bytes, len, "wal", true, lc_fuzz__count_record, &n_records, &n_whole, NULL);
   if (n_whole > len)
     abort ();
 }
--- a/fuzz/fuzz-view.c
+++ b/fuzz/fuzz-view.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 
 static void
-lc_fuzz__copy (void *user, const LcViewOp *op)
+lc_fuzz__apply_to_copy (void *user, const LcViewOp *op)
 {
   if (lc_view_apply (user, op, NULL) < 0)
     abort (); /* a view's own snapshot must apply */
@@ -37,7 +37,7 @@
   lc_view_init (&view);
   lc_view_init (&copy);
   lc_fuzz__apply (&view, delta);
-  lc_view_snapshot (&view, lc_fuzz__copy, &copy);
+  lc_view_snapshot (&view, lc_fuzz__apply_to_copy, &copy);
   if (copy.services != NULL &&
       g_hash_table_size (copy.services) != g_hash_table_size (view.services))
     abort ();
--- a/src/agent/lc-agent-flow-private.h
+++ b/src/agent/lc-agent-flow-private.h
@@ -14,10 +14,10 @@
 LcPacketFormat lc_agent_flow__format (const LcAgentFlow *plane);
 /* Starts the state machine for the endpoint in the view, or updates its instance; after each view
  * change. */
-void lc_agent_flow__start_agent (LcAgentFlow *plane, int64_t now_us);
-void lc_agent_flow__add_meters (LcAgentFlow *plane);
+void lc_agent_flow__update_endpoint (LcAgentFlow *plane, int64_t now_us);
+void lc_agent_flow__register_metrics (LcAgentFlow *plane);
 /* Publishes the totals as metrics and service-level counts; at each tick. */
-void lc_agent_flow__bring_totals (LcAgentFlow *plane);
+void lc_agent_flow__publish_totals (LcAgentFlow *plane);
 /* Logs where a first packet was sent, and each packet that was dropped, reset or searched for.
  * `n_asked`: endpoints that the search sent it to. */
 void lc_agent_flow__log_action (LcAgentFlow *plane,
@@ -28,11 +28,11 @@
                                 int64_t now_us);
 void lc_agent_flow__log_returned (LcAgentFlow *plane, const LcPacket *packet, int64_t now_us);
 /* Logs that a search ended: no backend server holds the flow. */
-void lc_agent_flow__log_denied (LcAgentFlow *plane, const LcPacket *packet, int64_t now_us);
+void lc_agent_flow__log_unowned (LcAgentFlow *plane, const LcPacket *packet, int64_t now_us);
 /* Records a response of the backend server in the histograms; logs it if it is late. */
-void lc_agent_flow__note_answer (LcAgentFlow *plane,
-                                 const LcPacket *packet,
-                                 const LcFlowResponse *answer,
-                                 int64_t now_us);
+void lc_agent_flow__record_response (LcAgentFlow *plane,
+                                     const LcPacket *packet,
+                                     const LcFlowResponse *answer,
+                                     int64_t now_us);
 
 #endif /* LC_AGENT_FLOW_PRIVATE_H */
--- a/src/agent/lc-agent-flow-report.c
+++ b/src/agent/lc-agent-flow-report.c
@@ -5,7 +5,7 @@
 /* === private: counters ====================================================================== */
 
 static void
-lc_agent_flow__add_histograms (LcAgentFlow *plane, LcMetrics *metrics)
+lc_agent_flow__register_histograms (LcAgentFlow *plane, LcMetrics *metrics)
 {
   plane->open_us = lc_metrics_histogram (
       metrics, "lychee_flow_open_us",
@@ -19,7 +19,7 @@
 
 /* Counters of the admission queue and of ejections (lc-flow-gate, lc-outlier). */
 static void
-lc_agent_flow__add_gate_meters (LcAgentFlow *plane, LcMetrics *metrics)
+lc_agent_flow__register_gate_metrics (LcAgentFlow *plane, LcMetrics *metrics)
 {
   const LcFlowGate *gate = &plane->agent.gate;
   LcFlowMeter *meter = &plane->meter;
@@ -44,7 +44,7 @@
 }
 
 void
-lc_agent_flow__add_meters (LcAgentFlow *plane)
+lc_agent_flow__register_metrics (LcAgentFlow *plane)
 {
   LcMetrics *metrics = &plane->desc.app->metrics;
   LcFlowAgentCounts *counts = &plane->agent.counts;
@@ -87,13 +87,13 @@
   lc_flow_meter_add_drops (meter, metrics, counts->dropped_total);
   plane->open_flows =
       lc_metrics_gauge (metrics, "lychee_flow_open", "Open flows of the backend server", NULL);
-  lc_agent_flow__add_gate_meters (plane, metrics);
-  lc_agent_flow__add_histograms (plane, metrics);
+  lc_agent_flow__register_gate_metrics (plane, metrics);
+  lc_agent_flow__register_histograms (plane, metrics);
 }
 
 /* Adds what a total has grown by to the service-level counts. */
 static void
-lc_agent_flow__burn (LcAgentFlow *plane, LcBurnCounter counter, uint64_t total)
+lc_agent_flow__add_burn (LcAgentFlow *plane, LcBurnCounter counter, uint64_t total)
 {
   uint64_t *added = &plane->burn_added[counter];
 
@@ -104,22 +104,23 @@
 
 /* An adopted flow counts as opened here and as ended at the agent that handed it over. */
 void
-lc_agent_flow__bring_totals (LcAgentFlow *plane)
+lc_agent_flow__publish_totals (LcAgentFlow *plane)
 {
   const LcFlowAgentCounts *counts = &plane->agent.counts;
   uint64_t opened = counts->accepted_total + counts->adopted_total;
   uint64_t gone = opened - MIN (opened, lc_flow_agent_open_flows (&plane->agent));
 
-  lc_flow_meter_bring (&plane->meter);
+  lc_flow_meter_publish (&plane->meter);
   lc_metric_set (plane->open_flows, lc_flow_agent_open_flows (&plane->agent));
   lc_metric_set (plane->in_flight, lc_flow_agent_unanswered_requests (&plane->agent));
-  lc_agent_flow__burn (plane, LC_BURN_FLOW_OPENED, opened);
-  lc_agent_flow__burn (plane, LC_BURN_FLOW_ENDED, gone);
+  lc_agent_flow__add_burn (plane, LC_BURN_FLOW_OPENED, opened);
+  lc_agent_flow__add_burn (plane, LC_BURN_FLOW_ENDED, gone);
   /* A broken flow's owner is gone and can't count it, so its first home does. */
-  lc_agent_flow__burn (plane, LC_BURN_FLOW_BROKEN, counts->broken_total + counts->conflicts_total);
-  lc_agent_flow__burn (plane, LC_BURN_FLOW_REFUSED,
-                       counts->dropped_total[LC_DROP_LIMIT] +
-                           counts->dropped_total[LC_DROP_NO_ENDPOINT]);
+  lc_agent_flow__add_burn (plane, LC_BURN_FLOW_BROKEN,
+                           counts->broken_total + counts->conflicts_total);
+  lc_agent_flow__add_burn (plane, LC_BURN_FLOW_REFUSED,
+                           counts->dropped_total[LC_DROP_LIMIT] +
+                               counts->dropped_total[LC_DROP_NO_ENDPOINT]);
 }
 
 /* === private: log lines ===================================================================== */
@@ -149,15 +150,15 @@
 
 /* Fills the fields that all lines have: age of the view and load. */
 static LcFlowLogLine
-lc_agent_flow__line (const LcAgentFlow *plane,
-                     LcFlowLogKind kind,
-                     const LcFlowKey *key,
-                     int64_t now_us)
+lc_agent_flow__make_log_line (const LcAgentFlow *plane,
+                              LcFlowLogKind kind,
+                              const LcFlowKey *key,
+                              int64_t now_us)
 {
   return (LcFlowLogLine){ .kind = kind,
                           .key = key,
                           .revision = plane->agent.view != NULL ? plane->agent.view->revision : 0,
-                          .view_age_us = lc_member_silence_us (plane->desc.member, now_us),
+                          .view_age_us = lc_member_view_age_us (plane->desc.member, now_us),
                           .n_at_work = lc_flow_agent_unanswered_requests (&plane->agent) };
 }
 
@@ -169,7 +170,8 @@
                            uint32_t n_asked,
                            int64_t now_us)
 {
-  LcFlowLogLine line = lc_agent_flow__line (plane, LC_FLOW_LOG_DROPPED, &packet->key, now_us);
+  LcFlowLogLine line =
+      lc_agent_flow__make_log_line (plane, LC_FLOW_LOG_DROPPED, &packet->key, now_us);
 
   line.n_copies = packet->may_open ? packet->n_copies : 0;
   switch (action->kind)
@@ -211,7 +213,8 @@
 void
 lc_agent_flow__log_returned (LcAgentFlow *plane, const LcPacket *packet, int64_t now_us)
 {
-  LcFlowLogLine line = lc_agent_flow__line (plane, LC_FLOW_LOG_RETURNED, &packet->key, now_us);
+  LcFlowLogLine line =
+      lc_agent_flow__make_log_line (plane, LC_FLOW_LOG_RETURNED, &packet->key, now_us);
 
   line.why = packet->may_open ? "the backend server takes no new flow now"
                               : "the backend server does not hold the flow";
@@ -220,19 +223,20 @@
 }
 
 void
-lc_agent_flow__log_denied (LcAgentFlow *plane, const LcPacket *packet, int64_t now_us)
+lc_agent_flow__log_unowned (LcAgentFlow *plane, const LcPacket *packet, int64_t now_us)
 {
-  LcFlowLogLine line = lc_agent_flow__line (plane, LC_FLOW_LOG_RESET, &packet->key, now_us);
+  LcFlowLogLine line =
+      lc_agent_flow__make_log_line (plane, LC_FLOW_LOG_RESET, &packet->key, now_us);
 
   line.why = "no backend server holds it";
   lc_flow_log (&plane->log, &line, now_us);
 }
 
 void
-lc_agent_flow__note_answer (LcAgentFlow *plane,
-                            const LcPacket *packet,
-                            const LcFlowResponse *answer,
-                            int64_t now_us)
+lc_agent_flow__record_response (LcAgentFlow *plane,
+                                const LcPacket *packet,
+                                const LcFlowResponse *answer,
+                                int64_t now_us)
 {
   LcFlowKey key;
   LcFlowLogLine line;
@@ -245,7 +249,7 @@
     return;
   lc_metric_add (plane->late_total, 1);
   key = lc_flow_return_caller_key (packet);
-  line = lc_agent_flow__line (plane, LC_FLOW_LOG_LATE, &key, now_us);
+  line = lc_agent_flow__make_log_line (plane, LC_FLOW_LOG_LATE, &key, now_us);
   line.why = answer->kind == LC_FLOW_RESPONSE_ACCEPT ? "accepted late" : "answered late";
   line.after_us = answer->elapsed_us;
   lc_flow_log (&plane->log, &line, now_us);
--- a/src/agent/lc-agent-flow-start.c
+++ b/src/agent/lc-agent-flow-start.c
@@ -5,8 +5,8 @@
 enum
 {
   /* For packet formats that show where requests begin and end: */
-  LC_AGENT_FLOW_LOAD_MS = 200,       /* longest interval of load reports */
-  LC_AGENT_FLOW_TELL_MS = 100,       /* shortest one: two rounds of a short request */
+  LC_AGENT_FLOW_LOAD_MAX_MS = 200,   /* longest interval of load reports */
+  LC_AGENT_FLOW_LOAD_MIN_MS = 100,   /* shortest one: two rounds of a short request */
   LC_AGENT_FLOW_STALE_MS = 700,      /* three load reports missed */
   LC_AGENT_FLOW_WORK_WEIGHT = 30,    /* an open flow has a request for about 1/30 of its time */
   LC_AGENT_FLOW_RAMP_PERMILLE = 600, /* a cold backend server takes about 1.6 times as long */
@@ -18,10 +18,10 @@
 /* Packets show when a request and its answer begin, so endpoints are compared by requests in
  * flight, and the data centre is left only when none of its endpoints has a free slot. */
 static void
-lc_agent_flow__weigh_work (LcFlowAgentDesc *desc)
+lc_agent_flow__configure_request_load (LcFlowAgentDesc *desc)
 {
-  desc->load_interval_us = LC_AGENT_FLOW_LOAD_MS * LC_US_PER_MS;
-  desc->load_min_interval_us = LC_AGENT_FLOW_TELL_MS * LC_US_PER_MS;
+  desc->load_interval_us = LC_AGENT_FLOW_LOAD_MAX_MS * LC_US_PER_MS;
+  desc->load_min_interval_us = LC_AGENT_FLOW_LOAD_MIN_MS * LC_US_PER_MS;
   desc->assign.work_weight = LC_AGENT_FLOW_WORK_WEIGHT;
   desc->assign.ramp_first_permille = LC_AGENT_FLOW_RAMP_PERMILLE;
   desc->assign.near_permille = LC_AGENT_FLOW_NEAR_PERMILLE;
@@ -44,7 +44,7 @@
   desc.cold = (LcWarmupLimitDesc){ settings->cold_overshoot_permille, settings->cold_slack };
   desc.assign.ramp_us = (int64_t)settings->ramp_ms * LC_US_PER_MS;
   if (desc.returns_packets)
-    lc_agent_flow__weigh_work (&desc);
+    lc_agent_flow__configure_request_load (&desc);
   return desc;
 }
 
@@ -52,7 +52,7 @@
 
 /* Starts an empty state machine for the present start of the backend server. */
 static void
-lc_agent_flow__begin (
+lc_agent_flow__restart_agent (
     LcAgentFlow *plane, const LcCandidate *self, LcServiceId service_id, LcDcId dc, int64_t now_us)
 {
   LcFlowAgentDesc desc = lc_agent_flow__agent_desc (plane);
@@ -62,8 +62,8 @@
 
   if (plane->has_agent)
     lc_flow_agent_finish (&plane->agent); /* its flows ended with the earlier backend server */
-  lc_agent_held_finish (&plane->held);
-  lc_agent_held_finish (&plane->searching);
+  lc_flow_packets_finish (&plane->held);
+  lc_flow_packets_finish (&plane->searching);
   desc.self = *self;
   desc.service_id = service_id;
   desc.is_backend_fresh = plane->is_backend_fresh;
@@ -89,7 +89,7 @@
  * after a loss of all power its first flows need not wait until 200 announcements are committed,
  * and a search gets its answer at once that it holds no flow. */
 void
-lc_agent_flow__start_agent (LcAgentFlow *plane, int64_t now_us)
+lc_agent_flow__update_endpoint (LcAgentFlow *plane, int64_t now_us)
 {
   const LcEndpoint *e = lc_member_own_endpoint (plane->desc.member);
   LcCandidate self;
@@ -102,13 +102,13 @@
     lc_flow_agent_set_identity (&plane->agent, &self); /* started by its report */
   else if (e->instance == lc_member_instance (plane->desc.member) ||
            (!plane->has_agent && plane->backend_instance != 0))
-    lc_agent_flow__begin (plane, &self, e->service_id, e->dc, now_us);
+    lc_agent_flow__restart_agent (plane, &self, e->service_id, e->dc, now_us);
 }
 
 /* === public: state of the backend server ==================================================== */
 
 void
-lc_agent_flow_leave (LcAgentFlow *plane)
+lc_agent_flow_backend_leaving (LcAgentFlow *plane)
 {
   plane->is_backend_leaving = true;
   if (plane->has_agent)
@@ -134,7 +134,8 @@
       return;
     }
   self = plane->agent.desc.self;
-  lc_agent_flow__begin (plane, &self, plane->agent.desc.service_id, plane->agent.dc, now_us);
+  lc_agent_flow__restart_agent (plane, &self, plane->agent.desc.service_id, plane->agent.dc,
+                                now_us);
   lc_flow_agent_set_view (&plane->agent, lc_member_view (plane->desc.member), now_us);
 }
 
@@ -150,7 +151,7 @@
 }
 
 void
-lc_agent_flow_set_backend (LcAgentFlow *plane, LcFlowBackendState backend)
+lc_agent_flow_set_backend_state (LcAgentFlow *plane, LcFlowBackendState backend)
 {
   static const char *const NAMES[] = { "open", "asked", "none" };
 
--- a/src/agent/lc-agent-flow.c
+++ b/src/agent/lc-agent-flow.c
@@ -31,10 +31,10 @@
 }
 
 static void
-lc_agent_flow__reset (LcAgentFlow *plane, const LcPacket *packet)
+lc_agent_flow__send_reset (LcAgentFlow *plane, const LcPacket *packet)
 {
   uint8_t bytes[LC_PACKET_RESET_BYTES];
-  size_t len = lc_packet_format_reset (lc_agent_flow__format (plane), packet, bytes);
+  size_t len = lc_packet_format_build_reset (lc_agent_flow__format (plane), packet, bytes);
 
   if (len > 0)
     lc_agent_flow__send_to_caller (plane, packet->key.source_ipv4, bytes, len);
@@ -47,8 +47,8 @@
 
   while (lc_flow_return_next_reset (&plane->agent, &packet))
     {
-      lc_agent_flow__reset (plane, &packet);
-      lc_agent_flow__log_denied (plane, &packet, now_us);
+      lc_agent_flow__send_reset (plane, &packet);
+      lc_agent_flow__log_unowned (plane, &packet, now_us);
     }
 }
 
@@ -56,7 +56,7 @@
 
 /* Sends the complete packet as a datagram's payload. */
 static void
-lc_agent_flow__give (LcAgentFlow *plane, uint8_t *bytes, size_t len, uint32_t mark)
+lc_agent_flow__send_to_backend (LcAgentFlow *plane, uint8_t *bytes, size_t len, uint32_t mark)
 {
   const LcSocketAddress *backend = &plane->desc.settings->backend_feed;
 
@@ -65,17 +65,17 @@
 }
 
 static void
-lc_agent_flow__give_held (LcAgentFlow *plane, int64_t now_us)
+lc_agent_flow__release_held (LcAgentFlow *plane, int64_t now_us)
 {
-  LcAgentHeldPacket *packet;
+  LcFlowPacket *packet;
   LcFlowHeld held;
 
   while (lc_flow_return_next_held (&plane->agent, &held, now_us))
     if (!held.is_released)
-      lc_agent_held_drop (&plane->held, held.flow);
+      lc_flow_packets_drop (&plane->held, held.flow);
     else
-      while ((packet = lc_agent_held_take (&plane->held, held.flow)) != NULL)
-        lc_agent_flow__give (plane, packet->bytes, packet->len, LC_FLOW_MARK_NONE);
+      while ((packet = lc_flow_packets_take (&plane->held, held.flow)) != NULL)
+        lc_agent_flow__send_to_backend (plane, packet->bytes, packet->len, LC_FLOW_MARK_NONE);
 }
 
 /* === private: messages ====================================================================== */
@@ -83,7 +83,7 @@
 /* Sends packets of searches to endpoints whose backend servers may hold the flow; returns how many
  * it sent. */
 static uint32_t
-lc_agent_flow__try_searched (LcAgentFlow *plane, int64_t now_us)
+lc_agent_flow__send_searched (LcAgentFlow *plane, int64_t now_us)
 {
   uint8_t header[LC_ENVELOPE_MAX_BYTES];
   uint32_t n_given = 0;
@@ -92,7 +92,7 @@
 
   while (lc_flow_finder_next_try (&plane->agent, now_us, &next))
     {
-      const LcAgentHeldPacket *kept = lc_agent_held_take (&plane->searching, next.slot);
+      const LcFlowPacket *kept = lc_flow_packets_take (&plane->searching, next.slot);
 
       for (uint32_t i = 0; kept != NULL && i < next.n; i++)
         {
@@ -103,7 +103,7 @@
           n_given++;
         }
       if (kept != NULL)
-        (void)lc_agent_held_put (&plane->searching, next.slot, kept->bytes, kept->len);
+        (void)lc_flow_packets_put (&plane->searching, next.slot, kept->bytes, kept->len);
     }
   return n_given;
 }
@@ -114,9 +114,9 @@
   uint8_t bytes[LC_FLOW_WIRE_MAX];
   LcFlowMessage message;
 
-  lc_agent_flow__give_held (plane, now_us);
+  lc_agent_flow__release_held (plane, now_us);
   lc_agent_flow__send_resets (plane, now_us);
-  (void)lc_agent_flow__try_searched (plane, now_us);
+  (void)lc_agent_flow__send_searched (plane, now_us);
   while (lc_flow_agent_next_message (&plane->agent, &message, now_us))
     {
       size_t len = lc_flow_wire_write (&message, bytes, sizeof bytes);
@@ -130,7 +130,7 @@
 
 /* Logs searches without a result, and an endpoint that did not respond. */
 static void
-lc_agent_flow__note_expired (LcAgentFlow *plane, int64_t now_us)
+lc_agent_flow__log_expired_searches (LcAgentFlow *plane, int64_t now_us)
 {
   const LcFlowSearches *searches = plane->agent.searches;
 
@@ -146,7 +146,7 @@
 }
 
 static void
-lc_agent_flow__malformed (LcAgentFlow *plane, const char *what, uint32_t ipv4, int64_t now_us)
+lc_agent_flow__count_malformed (LcAgentFlow *plane, const char *what, uint32_t ipv4, int64_t now_us)
 {
   plane->malformed_total++;
   if (lc_log_allow (&plane->malformed_limit, now_us, LC_AGENT_FLOW_LOG_PER_S))
@@ -173,7 +173,7 @@
     }
   if (settings->delivery == LC_AGENT_DELIVERY_DATAGRAM)
     {
-      lc_agent_flow__give (plane, bytes, packet->total_len, action->deliver.mark);
+      lc_agent_flow__send_to_backend (plane, bytes, packet->total_len, action->deliver.mark);
       return;
     }
   if (settings->delivery == LC_AGENT_DELIVERY_INJECT)
@@ -190,12 +190,12 @@
 }
 
 static void
-lc_agent_flow__send (LcAgentFlow *plane,
-                     const LcEnvelope *envelope,
-                     uint32_t ipv4,
-                     uint16_t port,
-                     const uint8_t *bytes,
-                     const LcPacket *packet)
+lc_agent_flow__forward (LcAgentFlow *plane,
+                        const LcEnvelope *envelope,
+                        uint32_t ipv4,
+                        uint16_t port,
+                        const uint8_t *bytes,
+                        const LcPacket *packet)
 {
   uint8_t header[LC_ENVELOPE_MAX_BYTES];
 
@@ -205,25 +205,25 @@
 }
 
 static void
-lc_agent_flow__search (LcAgentFlow *plane,
-                       const LcFlowAction *action,
-                       uint8_t *bytes,
-                       const LcPacket *packet)
+lc_agent_flow__start_search (LcAgentFlow *plane,
+                             const LcFlowAction *action,
+                             uint8_t *bytes,
+                             const LcPacket *packet)
 {
   lc_packet_format_set_mark (lc_agent_flow__format (plane), bytes, LC_FLOW_MARK_NONE);
-  lc_agent_held_drop (&plane->searching, action->search.slot);
-  (void)lc_agent_held_put (&plane->searching, action->search.slot, bytes, packet->total_len);
+  lc_flow_packets_drop (&plane->searching, action->search.slot);
+  (void)lc_flow_packets_put (&plane->searching, action->search.slot, bytes, packet->total_len);
   if (action->search.is_local)
-    lc_agent_flow__give (plane, bytes, packet->total_len, plane->agent.desc.self.id);
+    lc_agent_flow__send_to_backend (plane, bytes, packet->total_len, plane->agent.desc.self.id);
 }
 
 static void
-lc_agent_flow__act (LcAgentFlow *plane,
-                    const LcFlowAction *action,
-                    const LcEnvelope *envelope,
-                    uint8_t *bytes,
-                    const LcPacket *packet,
-                    int64_t now_us)
+lc_agent_flow__execute (LcAgentFlow *plane,
+                        const LcFlowAction *action,
+                        const LcEnvelope *envelope,
+                        uint8_t *bytes,
+                        const LcPacket *packet,
+                        int64_t now_us)
 {
   uint32_t n_asked = 0;
 
@@ -234,20 +234,20 @@
       break;
     case LC_FLOW_ACTION_SEND:
       lc_packet_format_set_mark (lc_agent_flow__format (plane), bytes, LC_FLOW_MARK_NONE);
-      lc_agent_flow__send (plane, envelope, action->send.ipv4, action->send.port, bytes, packet);
+      lc_agent_flow__forward (plane, envelope, action->send.ipv4, action->send.port, bytes, packet);
       break;
     case LC_FLOW_ACTION_TRY:
-      lc_agent_flow__give (plane, bytes, packet->total_len, action->try_mark);
+      lc_agent_flow__send_to_backend (plane, bytes, packet->total_len, action->try_mark);
       break;
     case LC_FLOW_ACTION_SEARCH:
-      lc_agent_flow__search (plane, action, bytes, packet);
-      n_asked = lc_agent_flow__try_searched (plane, now_us);
+      lc_agent_flow__start_search (plane, action, bytes, packet);
+      n_asked = lc_agent_flow__send_searched (plane, now_us);
       break;
     case LC_FLOW_ACTION_RESET:
-      lc_agent_flow__reset (plane, packet);
+      lc_agent_flow__send_reset (plane, packet);
       break;
     case LC_FLOW_ACTION_HOLD:
-      (void)lc_agent_held_put (&plane->held, action->hold_flow, bytes, packet->total_len);
+      (void)lc_flow_packets_put (&plane->held, action->hold_flow, bytes, packet->total_len);
       break;
     case LC_FLOW_ACTION_DROP:
       break;
@@ -267,12 +267,12 @@
   if (start < 0 || lc_packet_format_parse (lc_agent_flow__format (plane), &packet, bytes + start,
                                            len - (size_t)start) < 0)
     {
-      lc_agent_flow__malformed (plane, "envelope", from, now_us);
+      lc_agent_flow__count_malformed (plane, "envelope", from, now_us);
       return;
     }
-  lc_member_note_revision (plane->desc.member, envelope.revision);
+  lc_member_record_revision (plane->desc.member, envelope.revision);
   action = lc_flow_agent_handle_packet (&plane->agent, &envelope, &packet, now_us);
-  lc_agent_flow__act (plane, &action, &envelope, bytes + start, &packet, now_us);
+  lc_agent_flow__execute (plane, &action, &envelope, bytes + start, &packet, now_us);
 }
 
 /* === private: from the backend server ======================================================= */
@@ -290,7 +290,7 @@
     return;
   lc_agent_flow__log_returned (plane, packet, now_us);
   action = lc_flow_return_handle_returned (&plane->agent, &envelope, packet, now_us);
-  lc_agent_flow__act (plane, &action, &envelope, bytes, packet, now_us);
+  lc_agent_flow__execute (plane, &action, &envelope, bytes, packet, now_us);
 }
 
 static void
@@ -304,7 +304,7 @@
   (void)port;
   if (lc_packet_format_parse (lc_agent_flow__format (plane), &packet, bytes, len) < 0)
     {
-      lc_agent_flow__malformed (plane, "outbound", ipv4, now_us);
+      lc_agent_flow__count_malformed (plane, "outbound", ipv4, now_us);
       return;
     }
   if (packet.is_returned)
@@ -315,7 +315,7 @@
   if (plane->has_agent)
     {
       answer = lc_flow_return_handle_response (&plane->agent, &packet, now_us);
-      lc_agent_flow__note_answer (plane, &packet, &answer, now_us);
+      lc_agent_flow__record_response (plane, &packet, &answer, now_us);
     }
   lc_agent_flow__send_to_caller (plane, packet.key.target_ipv4, bytes, len);
 }
@@ -342,15 +342,15 @@
       break;
     case LC_ENVELOPE_MESSAGE:
       if (lc_flow_wire_read (&message, bytes, len) < 0)
-        lc_agent_flow__malformed (plane, "message", ipv4, now_us);
+        lc_agent_flow__count_malformed (plane, "message", ipv4, now_us);
       else
         {
-          lc_member_note_revision (plane->desc.member, message.load.revision);
+          lc_member_record_revision (plane->desc.member, message.load.revision);
           lc_flow_agent_handle_message (&plane->agent, &message, now_us);
         }
       break;
     default:
-      lc_agent_flow__malformed (plane, "datagram", ipv4, now_us);
+      lc_agent_flow__count_malformed (plane, "datagram", ipv4, now_us);
       break;
     }
 }
@@ -415,12 +415,12 @@
   lc_agent_relay_sweep (&plane->relay);
   if (!plane->has_agent)
     return;
-  lc_flow_agent_set_cut_off (&plane->agent, lc_member_silence_us (plane->desc.member, now_us) >
+  lc_flow_agent_set_cut_off (&plane->agent, lc_member_view_age_us (plane->desc.member, now_us) >
                                                 LC_AGENT_FLOW_CUT_OFF_MS * LC_US_PER_MS);
   lc_flow_agent_tick (&plane->agent, now_us);
-  lc_agent_flow__note_expired (plane, now_us);
+  lc_agent_flow__log_expired_searches (plane, now_us);
   lc_agent_flow__drain_tick (plane, now_us);
-  lc_agent_flow__bring_totals (plane);
+  lc_agent_flow__publish_totals (plane);
   lc_agent_flow__send_messages (plane, now_us);
   lc_datagram_flush (&plane->port);
 }
@@ -428,7 +428,7 @@
 /* === private: start ========================================================================= */
 
 static int
-lc_agent_flow__open (LcAgentFlow *plane, LcError *error)
+lc_agent_flow__open_ports (LcAgentFlow *plane, LcError *error)
 {
   const LcAgentSettings *settings = plane->desc.settings;
   LcDatagramDesc port = { .loop = plane->desc.app->loop,
@@ -477,10 +477,10 @@
   plane->log.has_request_log = desc->settings->has_requests;
   plane->backend_state =
       desc->settings->report_port == 0 ? LC_FLOW_BACKEND_OPEN : LC_FLOW_BACKEND_UNAVAILABLE;
-  r = lc_agent_flow__open (plane, error);
+  r = lc_agent_flow__open_ports (plane, error);
   if (r < 0)
     return r;
-  lc_agent_flow__add_meters (plane);
+  lc_agent_flow__register_metrics (plane);
   lc_timer_init (&plane->timer, desc->app->loop, lc_agent_flow__on_tick, plane);
   lc_timer_start (&plane->timer, LC_AGENT_FLOW_TICK_MS);
   return LC_OK;
@@ -497,12 +497,12 @@
     lc_datagram_finish (&plane->outbound);
   if (plane->has_agent)
     lc_flow_agent_finish (&plane->agent);
-  lc_agent_held_finish (&plane->held);
+  lc_flow_packets_finish (&plane->held);
   plane->has_agent = false;
 }
 
 static void
-lc_agent_flow__note_evacuated (LcAgentFlow *plane, const LcView *view)
+lc_agent_flow__update_evacuated (LcAgentFlow *plane, const LcView *view)
 {
   const LcDataCentre *dc = lc_view_dc (view, plane->agent.dc);
   bool is_evacuated = dc != NULL && dc->is_evacuated;
@@ -517,7 +517,7 @@
 }
 
 void
-lc_agent_flow_view (
+lc_agent_flow_set_view (
     LcAgentFlow *plane, const LcView *view, const LcViewOp *ops, size_t n_ops, bool is_reset)
 {
   int64_t now_us = lc_clock_now_us ();
@@ -525,17 +525,17 @@
   (void)ops;
   (void)n_ops;
   (void)is_reset;
-  lc_agent_flow__start_agent (plane, now_us);
+  lc_agent_flow__update_endpoint (plane, now_us);
   if (!plane->has_agent)
     return;
   lc_flow_agent_set_view (&plane->agent, view, now_us);
-  lc_agent_flow__note_evacuated (plane, view);
+  lc_agent_flow__update_evacuated (plane, view);
   lc_agent_flow__send_messages (plane, now_us);
   lc_datagram_flush (&plane->port);
 }
 
 void
-lc_agent_flow_frame (LcAgentFlow *plane, LcLink *link, const LcFrame *frame)
+lc_agent_flow_handle_frame (LcAgentFlow *plane, LcLink *link, const LcFrame *frame)
 {
   (void)plane;
   (void)frame;
@@ -543,7 +543,7 @@
 }
 
 void
-lc_agent_flow_link_down (LcAgentFlow *plane, LcLink *link)
+lc_agent_flow_handle_link_down (LcAgentFlow *plane, LcLink *link)
 {
   (void)plane;
   (void)link;
@@ -570,7 +570,7 @@
 }
 
 LcRevision
-lc_agent_flow_registered (const LcAgentFlow *plane)
+lc_agent_flow_registered_revision (const LcAgentFlow *plane)
 {
   return plane->has_agent ? lc_flow_agent_registered_revision (&plane->agent) : 0;
 }
--- a/src/agent/lc-agent-flow.h
+++ b/src/agent/lc-agent-flow.h
@@ -15,7 +15,7 @@
 #ifndef LC_AGENT_FLOW_H
 #define LC_AGENT_FLOW_H
 
-#include "lc-agent-held.h"
+#include "lc-flow-packets.h"
 #include "lc-agent-inject.h"
 #include "lc-agent-relay.h"
 #include "lc-agent-settings.h"
@@ -43,8 +43,8 @@
   bool has_outbound;
   LcAgentRelay relay;
   LcAgentInject inject;
-  LcAgentHeld held;      /* packets that wait for a free slot, by flow */
-  LcAgentHeld searching; /* packets whose owner is searched for, by search slot */
+  LcFlowPackets held;      /* packets that wait for a free slot, by flow */
+  LcFlowPackets searching; /* packets whose owner is searched for, by search slot */
   LcTimer timer;
   LcFlowMeter meter;
   uint64_t burn_added[LC_N_BURN_COUNTERS]; /* totals already added to app->burn */
@@ -73,16 +73,16 @@
 int lc_agent_flow_init (LcAgentFlow *plane, const LcAgentFlowDesc *desc, LcError *error);
 void lc_agent_flow_finish (LcAgentFlow *plane);
 /* Call it after each batch of view operations. */
-void lc_agent_flow_view (
+void lc_agent_flow_set_view (
     LcAgentFlow *plane, const LcView *view, const LcViewOp *ops, size_t n_ops, bool is_reset);
 /* Closes the link: this plane accepts UDP only. */
-void lc_agent_flow_frame (LcAgentFlow *plane, LcLink *link, const LcFrame *frame);
-void lc_agent_flow_link_down (LcAgentFlow *plane, LcLink *link);
+void lc_agent_flow_handle_frame (LcAgentFlow *plane, LcLink *link, const LcFrame *frame);
+void lc_agent_flow_handle_link_down (LcAgentFlow *plane, LcLink *link);
 /* Begins a planned stop: refuses new flows, lets open ones end. */
 void lc_agent_flow_drain (LcAgentFlow *plane);
 bool lc_agent_flow_is_idle (const LcAgentFlow *plane);
 /* The backend server is leaving: refuses new flows; it keeps the ones that it has. */
-void lc_agent_flow_leave (LcAgentFlow *plane);
+void lc_agent_flow_backend_leaving (LcAgentFlow *plane);
 /* The backend server has started as this instance: it is not leaving, and unless this is the
  * present instance, flows, requests and failures of the earlier start are dropped.  `is_new`: only
  * this process can have given it flows (lc_backend_report_is_new_start). */
@@ -90,8 +90,8 @@
 /* Sets whether it is, or may be, in its slow start. */
 void lc_agent_flow_set_cold (LcAgentFlow *plane, bool is_cold);
 /* Sets the state that follows from its reports. */
-void lc_agent_flow_set_backend (LcAgentFlow *plane, LcFlowBackendState backend);
+void lc_agent_flow_set_backend_state (LcAgentFlow *plane, LcFlowBackendState backend);
 /* The newest view revision whose homes have every owned flow registered; 0: none yet. */
-LcRevision lc_agent_flow_registered (const LcAgentFlow *plane);
+LcRevision lc_agent_flow_registered_revision (const LcAgentFlow *plane);
 
 #endif
--- a/src/agent/lc-agent-relay.c
+++ b/src/agent/lc-agent-relay.c
@@ -7,8 +7,8 @@
 
 enum
 {
-  LC_AGENT_RELAY_SWEEP = 512, /* slots checked a call */
-  LC_AGENT_RELAY_READS = 32,  /* answers read before other events are handled */
+  LC_AGENT_RELAY_SWEEP_SLOTS = 512, /* slots checked a call */
+  LC_AGENT_RELAY_READS_MAX = 32,    /* answers read before other events are handled */
 };
 
 typedef struct
@@ -31,7 +31,7 @@
 
   if (why != NULL)
     return;
-  for (uint32_t i = 0; i < LC_AGENT_RELAY_READS; i++)
+  for (uint32_t i = 0; i < LC_AGENT_RELAY_READS_MAX; i++)
     {
       ssize_t n = recv (h2o_socket_get_fd (socket), bytes, sizeof bytes, MSG_DONTWAIT);
 
@@ -75,7 +75,7 @@
 }
 
 static uint32_t
-lc_agent_relay__slot (LcAgentRelay *r)
+lc_agent_relay__allocate_slot (LcAgentRelay *r)
 {
   uint32_t slot;
 
@@ -102,12 +102,12 @@
   if (fd < 0)
     {
       g_free (s);
-      return LC_AGENT_RELAY_NONE;
+      return LC_AGENT_RELAY_NO_SLOT;
     }
   s->socket = h2o_evloop_socket_create (r->desc.loop, fd, H2O_SOCKET_FLAG_DONT_READ);
   s->socket->data = s;
   h2o_socket_read_start (s->socket, lc_agent_relay__on_readable);
-  slot = lc_agent_relay__slot (r);
+  slot = lc_agent_relay__allocate_slot (r);
   g_ptr_array_index (r->sockets, slot) = s;
   r->n_open++;
   return slot;
@@ -126,7 +126,7 @@
 }
 
 static void
-lc_agent_relay__raise_limit (void)
+lc_agent_relay__raise_fd_limit (void)
 {
   struct rlimit limit;
 
@@ -158,7 +158,7 @@
   r->desc = *desc;
   r->sockets = g_ptr_array_new ();
   r->free_slots = g_array_new (FALSE, FALSE, sizeof (uint32_t));
-  lc_agent_relay__raise_limit ();
+  lc_agent_relay__raise_fd_limit ();
 }
 
 void
@@ -194,7 +194,7 @@
                                     .source_port = source_port };
 
       slot = lc_agent_relay__open (r, &wanted);
-      if (slot == LC_AGENT_RELAY_NONE)
+      if (slot == LC_AGENT_RELAY_NO_SLOT)
         {
           r->failed_total++;
           return slot;
@@ -220,7 +220,7 @@
 void
 lc_agent_relay_sweep (LcAgentRelay *r)
 {
-  uint32_t n = MIN (LC_AGENT_RELAY_SWEEP, r->sockets->len);
+  uint32_t n = MIN (LC_AGENT_RELAY_SWEEP_SLOTS, r->sockets->len);
 
   for (uint32_t i = 0; i < n; i++)
     {
--- a/src/agent/lc-agent-relay.h
+++ b/src/agent/lc-agent-relay.h
@@ -49,13 +49,13 @@
 
 enum
 {
-  LC_AGENT_RELAY_NONE = 0xffffffff,
+  LC_AGENT_RELAY_NO_SLOT = 0xffffffff,
 };
 
 void lc_agent_relay_init (LcAgentRelay *relay, const LcAgentRelayDesc *desc);
 void lc_agent_relay_finish (LcAgentRelay *relay);
 /* Sends through the flow's slot, opening a socket if it has none (`source_port` 0: any).  Returns
- * the slot, or LC_AGENT_RELAY_NONE if no socket could be opened. */
+ * the slot, or LC_AGENT_RELAY_NO_SLOT if no socket could be opened. */
 uint32_t lc_agent_relay_send (LcAgentRelay *relay,
                               uint32_t slot,
                               const LcFlowKey *key,
--- a/src/agent/lc-agent-report.c
+++ b/src/agent/lc-agent-report.c
@@ -31,7 +31,7 @@
 }
 
 static void
-lc_agent_report__take (LcAgentReport *self, const LcBackendReport *r)
+lc_agent_report__apply (LcAgentReport *self, const LcBackendReport *r)
 {
   LcBackendUpdate update = lc_backend_status_apply (&self->status, r, lc_clock_now_us ());
 
@@ -84,7 +84,7 @@
       lc_agent_report__refuse (self, req, &error);
       return 0;
     }
-  lc_agent_report__take (self, &r);
+  lc_agent_report__apply (self, &r);
   lc_http_answer (req, 200, NULL, ANSWER, sizeof ANSWER - 1);
   return 0;
 }
--- a/src/agent/lc-agent-claims.c
+++ b/src/agent/lc-agent-request-claims.c
@@ -4,7 +4,7 @@
 #define LC_AGENT_CLAIM_TIME_MAX_US ((uint64_t)(3600 * LC_US_PER_S))
 
 /* 36 characters and a newline. */
-static const char LC_AGENT_BOOT_ID[] = "/proc/sys/kernel/random/boot_id";
+static const char LC_AGENT_BOOT_ID_PATH[] = "/proc/sys/kernel/random/boot_id";
 
 /* === private: claim file ==================================================================== */
 
@@ -13,14 +13,15 @@
 {
   char *text = NULL;
 
-  if (!g_file_get_contents (LC_AGENT_BOOT_ID, &text, NULL, NULL) || g_strstrip (text)[0] == '\0')
+  if (!g_file_get_contents (LC_AGENT_BOOT_ID_PATH, &text, NULL, NULL) ||
+      g_strstrip (text)[0] == '\0')
     {
       g_free (text);
       return lc_error_set (error, LC_ERR_IO,
                            "make it readable, or leave `data_folder` out of the settings",
                            "%s can't be read: without it nobody can tell whether a file of claims "
                            "has outlived a start of the VM",
-                           LC_AGENT_BOOT_ID);
+                           LC_AGENT_BOOT_ID_PATH);
     }
   (void)g_strlcpy (out, text, size);
   g_free (text);
@@ -28,7 +29,7 @@
 }
 
 int
-lc_agent_request__open_claims (LcAgentRequest *plane, LcError *error)
+lc_agent_request__open_claim_file (LcAgentRequest *plane, LcError *error)
 {
   const char *folder = plane->desc.settings->data_folder;
   LcClaimFileDesc desc = { 0 };
@@ -55,7 +56,7 @@
 }
 
 void
-lc_agent_request__close_claims (LcAgentRequest *plane)
+lc_agent_request__close_claim_file (LcAgentRequest *plane)
 {
   if (!plane->has_claims_file)
     return;
@@ -64,30 +65,30 @@
 }
 
 static void
-lc_agent_request__claims_lost (LcAgentRequest *plane, const LcError *error)
+lc_agent_request__log_claim_file_error (LcAgentRequest *plane, const LcError *error)
 {
-  if (lc_log_allow (&plane->log_limit, lc_clock_now_us (), LC_AGENT_LOGS_PER_S))
+  if (lc_log_allow (&plane->log_limit, lc_clock_now_us (), LC_AGENT_REQUEST_LOGS_PER_S))
     LC_WARN ("request.claims-file-lost", "why", LC_STR (error->message), "remedy",
              LC_STR (error->remedy));
 }
 
 void
-lc_agent_request__keep_claim (LcAgentRequest *plane, const LcClaimRecord *hold)
+lc_agent_request__persist_claim (LcAgentRequest *plane, const LcClaimRecord *hold)
 {
   LcError error = { 0 };
 
-  if (plane->has_claims_file && lc_claim_file_claim (&plane->claims, hold, &error) < 0)
-    lc_agent_request__claims_lost (plane, &error);
+  if (plane->has_claims_file && lc_claim_file_append (&plane->claims, hold, &error) < 0)
+    lc_agent_request__log_claim_file_error (plane, &error);
 }
 
 void
-lc_agent_request__settle_claims (LcAgentRequest *plane, int64_t now_us)
+lc_agent_request__update_claim_file (LcAgentRequest *plane, int64_t now_us)
 {
   LcError error = { 0 };
 
   if (plane->has_claims_file &&
-      lc_claim_file_settle (&plane->claims, &plane->core, now_us, &error) < 0)
-    lc_agent_request__claims_lost (plane, &error);
+      lc_claim_file_update (&plane->claims, &plane->core, now_us, &error) < 0)
+    lc_agent_request__log_claim_file_error (plane, &error);
 }
 
 /* === private: incoming claims =============================================================== */
@@ -102,7 +103,7 @@
 
   if (claim == NULL)
     {
-      lc_agent_request__malformed (plane, frame->type);
+      lc_agent_request__count_malformed (plane, frame->type);
       return;
     }
   key = (LcRequestKey){ claim->key_hi, claim->key_lo };
@@ -110,7 +111,7 @@
       &plane->core, claim->home_instance, key,
       (LcMemberRef){ claim->owner_id, claim->owner_instance }, claim->sequence, claim->era,
       (int64_t)MIN (claim->keep_us, LC_AGENT_CLAIM_TIME_MAX_US), lc_clock_now_us (), &hold);
-  lc_agent_request__act (plane); /* a grant is persisted before it is sent */
+  lc_agent_request__execute_actions (plane); /* a grant is persisted before it is sent */
   answer.key_hi = key.hi;
   answer.key_lo = key.lo;
   answer.sequence = claim->sequence;
@@ -142,7 +143,7 @@
 
   if (answer == NULL)
     {
-      lc_agent_request__malformed (plane, frame->type);
+      lc_agent_request__count_malformed (plane, frame->type);
       return;
     }
   reply = (LcClaimReply){ .home = { answer->home_id, answer->home_instance },
@@ -165,7 +166,7 @@
 
   if (release == NULL)
     {
-      lc_agent_request__malformed (plane, frame->type);
+      lc_agent_request__count_malformed (plane, frame->type);
       return;
     }
   lc_request_agent_handle_release (&plane->core, (LcRequestKey){ release->key_hi, release->key_lo },
@@ -184,10 +185,10 @@
   Lc__Request__ClaimRecord **list;
   int64_t now_us;
   int result;
-} LcReadReply;
+} LcAgentClaimReadReply;
 
 static void
-lc_agent_request__flush_records (LcReadReply *reply, bool is_last)
+lc_agent_request__send_records (LcAgentClaimReadReply *reply, bool is_last)
 {
   reply->message.last = is_last;
   if (reply->result == 0)
@@ -198,7 +199,7 @@
 static void
 lc_agent_request__add_record (void *user, const LcClaimRecord *hold)
 {
-  LcReadReply *reply = user;
+  LcAgentClaimReadReply *reply = user;
   Lc__Request__ClaimRecord *record = &reply->records[reply->message.n_records];
 
   lc__request__claim_record__init (record);
@@ -210,11 +211,11 @@
   record->left_us = (uint64_t)(hold->expires_us - reply->now_us);
   reply->list[reply->message.n_records++] = record;
   if (reply->message.n_records == LC_REQUEST_READ_RECORDS)
-    lc_agent_request__flush_records (reply, false);
+    lc_agent_request__send_records (reply, false);
 }
 
 static void
-lc_agent_request__put_member (Lc__Request__Member *out, LcMemberRef member)
+lc_agent_request__fill_member (Lc__Request__Member *out, LcMemberRef member)
 {
   lc__request__member__init (out);
   out->id = member.id;
@@ -222,22 +223,22 @@
 }
 
 static void
-lc_agent_request__answer_read (LcAgentRequest *plane,
-                               LcLink *link,
-                               const Lc__Request__ClaimRead *read,
-                               const LcMemberRef *members)
+lc_agent_request__send_read_answer (LcAgentRequest *plane,
+                                    LcLink *link,
+                                    const Lc__Request__ClaimRead *read,
+                                    const LcMemberRef *members)
 {
   LcMemberRef reader = { read->reader->id, read->reader->instance };
   LcClaimSource sources[LC_CLAIM_SYNC_MAX_INCARNATIONS] = { { .member = plane->core.desc.self } };
   Lc__Request__Member former[LC_CLAIM_SYNC_MAX_INCARNATIONS];
   Lc__Request__Member *formers[LC_CLAIM_SYNC_MAX_INCARNATIONS];
-  LcReadReply reply = { .link = link,
-                        .message = LC__REQUEST__CLAIM_READ_ANSWER__INIT,
-                        .member = LC__REQUEST__MEMBER__INIT,
-                        .now_us = lc_clock_now_us () };
+  LcAgentClaimReadReply reply = { .link = link,
+                                  .message = LC__REQUEST__CLAIM_READ_ANSWER__INIT,
+                                  .member = LC__REQUEST__MEMBER__INIT,
+                                  .now_us = lc_clock_now_us () };
   uint32_t n = lc_request_agent_list_sources (&plane->core, read->era, reply.now_us, sources);
 
-  lc_agent_request__put_member (&reply.member, sources[0].member);
+  lc_agent_request__fill_member (&reply.member, sources[0].member);
   reply.message.member = &reply.member;
   reply.message.era = read->era;
   reply.message.member_era = sources[0].era;
@@ -247,7 +248,7 @@
   reply.message.former = formers;
   for (uint32_t i = 1; i < n; i++)
     {
-      lc_agent_request__put_member (&former[i], sources[i].member);
+      lc_agent_request__fill_member (&former[i], sources[i].member);
       formers[reply.message.n_former++] = &former[i];
     }
   reply.records = g_new (Lc__Request__ClaimRecord, LC_REQUEST_READ_RECORDS);
@@ -255,7 +256,7 @@
   reply.message.records = reply.list;
   lc_request_agent_foreach_record (&plane->core, reader, members, (uint32_t)read->n_members,
                                    reply.now_us, lc_agent_request__add_record, &reply);
-  lc_agent_request__flush_records (&reply, true);
+  lc_agent_request__send_records (&reply, true);
   g_free (reply.records);
   g_free (reply.list);
 }
@@ -269,7 +270,7 @@
 
   if (read == NULL || read->reader == NULL)
     {
-      lc_agent_request__malformed (plane, frame->type);
+      lc_agent_request__count_malformed (plane, frame->type);
       if (read != NULL)
         lc__request__claim_read__free_unpacked (read, NULL);
       return;
@@ -277,16 +278,16 @@
   members = g_new (LcMemberRef, read->n_members + 1);
   for (size_t i = 0; i < read->n_members; i++)
     members[i] = (LcMemberRef){ read->members[i]->id, read->members[i]->instance };
-  lc_agent_request__answer_read (plane, link, read, members);
+  lc_agent_request__send_read_answer (plane, link, read, members);
   g_free (members);
   lc__request__claim_read__free_unpacked (read, NULL);
 }
 
 /* Handles the last part of an answer. */
 static void
-lc_agent_request__read_done (LcAgentRequest *plane,
-                             const Lc__Request__ClaimReadAnswer *answer,
-                             int64_t now_us)
+lc_agent_request__add_sources (LcAgentRequest *plane,
+                               const Lc__Request__ClaimReadAnswer *answer,
+                               int64_t now_us)
 {
   LcClaimSource source = { { answer->member->id, answer->member->instance },
                            answer->era,
@@ -312,7 +313,7 @@
 
   if (answer == NULL || answer->member == NULL)
     {
-      lc_agent_request__malformed (plane, frame->type);
+      lc_agent_request__count_malformed (plane, frame->type);
       if (answer != NULL)
         lc__request__claim_read_answer__free_unpacked (answer, NULL);
       return;
@@ -328,6 +329,6 @@
       lc_request_agent_merge_record (&plane->core, &hold);
     }
   if (answer->last)
-    lc_agent_request__read_done (plane, answer, now_us);
+    lc_agent_request__add_sources (plane, answer, now_us);
   lc__request__claim_read_answer__free_unpacked (answer, NULL);
 }
--- a/src/agent/lc-agent-request-private.h
+++ b/src/agent/lc-agent-request-private.h
@@ -2,8 +2,8 @@
  *
  * WHAT IT IS
  *   lc-agent-request.c          incoming attempts, runs, timer
- *   lc-agent-send.c     outgoing frames to balancers and other agents
- *   lc-agent-claims.c   claims of other agents, and the claim file
+ *   lc-agent-request-send.c     outgoing frames to balancers and other agents
+ *   lc-agent-request-claims.c   claims of other agents, and the claim file
  */
 #ifndef LC_AGENT_REQUEST_PRIVATE_H
 #define LC_AGENT_REQUEST_PRIVATE_H
@@ -11,37 +11,37 @@
 #include "lc-agent-request.h"
 #include "core/request/lc-request-frames.h"
 #include "io/lc-clock.h"
-#include "lc-agent-attempt.h"
+#include "lc-partial-attempt.h"
 
 enum
 {
-  LC_AGENT_TICK_MS = 5,
+  LC_AGENT_REQUEST_TICK_MS = 5,
   LC_AGENT_MAX_PARTIAL_BYTES = 64 << 20,
-  LC_AGENT_LOGS_PER_S = 2,
+  LC_AGENT_REQUEST_LOGS_PER_S = 2,
 };
 
-#define LC_AGENT_REPORT_EVERY_US LC_US_PER_S
+#define LC_AGENT_REQUEST_REPORT_US LC_US_PER_S
 
 /* A run's request, and its call to the backend server while that is open. */
 typedef struct
 {
   LcAgentRequest *plane;
   uint64_t run_id;
-  LcPartial *payload;
+  LcPartialAttempt *payload;
   int64_t deadline_us;
   int64_t started_us; /* when it was sent to the backend server */
   LcBackendCall *call;
-} LcAgentCall;
+} LcAgentRun;
 
 /* Executes all queued actions. */
-void lc_agent_request__act (LcAgentRequest *plane);
-int lc_agent_request__open_claims (LcAgentRequest *plane, LcError *error);
-void lc_agent_request__close_claims (LcAgentRequest *plane);
-void lc_agent_request__keep_claim (LcAgentRequest *plane, const LcClaimRecord *hold);
-void lc_agent_request__settle_claims (LcAgentRequest *plane, int64_t now_us);
-void lc_agent_request__know_link (LcAgentRequest *plane, LcLink *link);
+void lc_agent_request__execute_actions (LcAgentRequest *plane);
+int lc_agent_request__open_claim_file (LcAgentRequest *plane, LcError *error);
+void lc_agent_request__close_claim_file (LcAgentRequest *plane);
+void lc_agent_request__persist_claim (LcAgentRequest *plane, const LcClaimRecord *hold);
+void lc_agent_request__update_claim_file (LcAgentRequest *plane, int64_t now_us);
+void lc_agent_request__track_link (LcAgentRequest *plane, LcLink *link);
 const LcService *lc_agent_request__service (const LcAgentRequest *plane);
-void lc_agent_request__malformed (LcAgentRequest *plane, uint16_t type);
+void lc_agent_request__count_malformed (LcAgentRequest *plane, uint16_t type);
 void lc_agent_request__send_refuse (LcAgentRequest *plane, const LcAgentAction *action);
 void lc_agent_request__send_answer (LcAgentRequest *plane, const LcAgentAction *action);
 void lc_agent_request__send_loads (LcAgentRequest *plane);
--- a/src/agent/lc-agent-send.c
+++ b/src/agent/lc-agent-request-send.c
@@ -3,17 +3,17 @@
 /* === private: links and members ============================================================= */
 
 static LcLink *
-lc_agent_request__link (const LcAgentRequest *plane, uint64_t link_id)
+lc_agent_request__find_link (const LcAgentRequest *plane, uint64_t link_id)
 {
   return g_hash_table_lookup (plane->links, &link_id);
 }
 
 void
-lc_agent_request__know_link (LcAgentRequest *plane, LcLink *link)
+lc_agent_request__track_link (LcAgentRequest *plane, LcLink *link)
 {
   uint64_t id = lc_link_id (link);
 
-  if (lc_agent_request__link (plane, id) == NULL)
+  if (lc_agent_request__find_link (plane, id) == NULL)
     g_hash_table_insert (plane->links, g_memdup2 (&id, sizeof id), link);
 }
 
@@ -25,7 +25,7 @@
 }
 
 static const LcEndpoint *
-lc_agent_request__find_in (const LcEndpoint *endpoints, uint32_t n, LcMemberRef ref)
+lc_agent_request__find_endpoint (const LcEndpoint *endpoints, uint32_t n, LcMemberRef ref)
 {
   for (uint32_t i = 0; i < n; i++)
     if (endpoints[i].id == ref.id && endpoints[i].instance == ref.instance)
@@ -42,17 +42,17 @@
 
   if (s == NULL)
     return NULL;
-  e = lc_agent_request__find_in (s->endpoints, s->n_endpoints, ref);
+  e = lc_agent_request__find_endpoint (s->endpoints, s->n_endpoints, ref);
   for (uint32_t i = 0; e == NULL && i < s->n_former; i++)
-    e = lc_agent_request__find_in (s->former[i].endpoints, s->former[i].n_endpoints, ref);
+    e = lc_agent_request__find_endpoint (s->former[i].endpoints, s->former[i].n_endpoints, ref);
   return e != NULL ? lc_peer_pool_get (&plane->peers, e->ipv4, e->peer_port, now_us) : NULL;
 }
 
 void
-lc_agent_request__malformed (LcAgentRequest *plane, uint16_t type)
+lc_agent_request__count_malformed (LcAgentRequest *plane, uint16_t type)
 {
   plane->malformed_total++;
-  if (lc_log_allow (&plane->log_limit, lc_clock_now_us (), LC_AGENT_LOGS_PER_S))
+  if (lc_log_allow (&plane->log_limit, lc_clock_now_us (), LC_AGENT_REQUEST_LOGS_PER_S))
     LC_WARN ("request.malformed", "type", LC_U64 (type), "remedy",
              LC_STR ("run the same version on balancers and agents"));
 }
@@ -96,12 +96,12 @@
   message.owner_id = action->refuse.owner.id;
   message.owner_instance = action->refuse.owner.instance;
   message.load = &load;
-  (void)lc_link_send (lc_agent_request__link (plane, action->refuse.attempt_id.link_id),
+  (void)lc_link_send (lc_agent_request__find_link (plane, action->refuse.attempt_id.link_id),
                       LC_FRAME_REFUSE, &message.base);
 }
 
 static int
-lc_agent_request__send_part (LcLink *link,
+lc_agent_request__send_body (LcLink *link,
                              const LcAttemptId *attempt_id,
                              GBytes *body,
                              size_t offset)
@@ -153,7 +153,7 @@
 lc_agent_request__send_answer (LcAgentRequest *plane, const LcAgentAction *action)
 {
   const LcAttemptId *attempt_id = &action->answer.attempt_id;
-  LcLink *link = lc_agent_request__link (plane, attempt_id->link_id);
+  LcLink *link = lc_agent_request__find_link (plane, attempt_id->link_id);
   size_t len = g_bytes_get_size (action->answer.answer->body);
   int r;
 
@@ -168,7 +168,7 @@
     return;
   r = lc_agent_request__send_head (plane, link, action);
   for (size_t offset = 0; r == 0 && offset < len; offset += LC_REQUEST_PART_BYTES)
-    r = lc_agent_request__send_part (link, attempt_id, action->answer.answer->body, offset);
+    r = lc_agent_request__send_body (link, attempt_id, action->answer.answer->body, offset);
   if (r < 0)
     lc_link_close (link, "an answer could not be sent whole");
 }
--- a/src/agent/lc-agent-request.h
+++ b/src/agent/lc-agent-request.h
@@ -33,7 +33,7 @@
 
 enum
 {
-  LC_AGENT_REQUEST_METRICS = 11,
+  LC_N_AGENT_REQUEST_METRICS = 11,
 };
 
 typedef struct
@@ -46,29 +46,29 @@
   LcBackendClient backend;
   LcPeerPool peers;    /* links to other agents, for claims */
   GHashTable *links;   /* link id -> LcLink, of balancers and agents */
-  GHashTable *partial; /* attempt id -> LcPartial: body not complete */
-  GHashTable *runs;    /* run id -> LcAgentCall */
+  GHashTable *partial; /* attempt id -> LcPartialAttempt: body not complete */
+  GHashTable *runs;    /* run id -> LcAgentRun */
   uint64_t partial_bytes;
   LcTimer timer;
   int64_t reported_us;
-  LcMetric *metrics[LC_AGENT_REQUEST_METRICS];
-  uint64_t published[LC_AGENT_REQUEST_METRICS]; /* added to `metrics` */
+  LcMetric *metrics[LC_N_AGENT_REQUEST_METRICS];
+  uint64_t published[LC_N_AGENT_REQUEST_METRICS]; /* added to `metrics` */
   uint64_t malformed_total;
   LcLogLimit log_limit;
   LcRequestLog log;
-  bool is_busy; /* lc_agent_request__act is active */
+  bool is_busy; /* lc_agent_request__execute_actions is active */
 } LcAgentRequest;
 
 int lc_agent_request_init (LcAgentRequest *plane, const LcAgentRequestDesc *desc, LcError *error);
 void lc_agent_request_finish (LcAgentRequest *plane);
 /* Call it after each batch of view operations; `is_reset`: the whole view was replaced. */
-void lc_agent_request_view (
+void lc_agent_request_set_view (
     LcAgentRequest *plane, const LcView *view, const LcViewOp *ops, size_t n_ops, bool is_reset);
 /* Handles a frame of the request plane. */
-void lc_agent_request_frame (LcAgentRequest *plane, LcLink *link, const LcFrame *frame);
-void lc_agent_request_link_down (LcAgentRequest *plane, LcLink *link);
+void lc_agent_request_handle_frame (LcAgentRequest *plane, LcLink *link, const LcFrame *frame);
+void lc_agent_request_handle_link_down (LcAgentRequest *plane, LcLink *link);
 /* The newest view revision up to which this agent has synchronised its claims. */
-LcRevision lc_agent_request_registered (const LcAgentRequest *plane);
+LcRevision lc_agent_request_synced_revision (const LcAgentRequest *plane);
 /* Begins a planned stop: refuses new requests, lets running ones end. */
 void lc_agent_request_drain (LcAgentRequest *plane);
 bool lc_agent_request_is_idle (const LcAgentRequest *plane);
--- a/src/agent/lc-backend-client.c
+++ b/src/agent/lc-backend-client.c
@@ -14,7 +14,7 @@
   GBytes *request;
   h2o_iovec_t buffer;
   bool is_head;
-  LcBackendEnd on_end;
+  LcBackendCallback on_end;
   void *user;
   bool *was_freed; /* set while lc_backend_call_new runs */
   uint32_t status;
@@ -41,7 +41,7 @@
 }
 
 static void
-lc_backend_call__end (LcBackendCall *call, LcRunResult how)
+lc_backend_call__finish (LcBackendCall *call, LcRunResult how)
 {
   LcAnswer *answer = NULL;
 
@@ -53,16 +53,16 @@
 }
 
 static void
-lc_backend_call__complete (LcBackendCall *call)
+lc_backend_call__finish_answer (LcBackendCall *call)
 {
   bool is_short = call->has_length && !call->is_head && call->body->len != call->length;
 
   if (is_short)
-    lc_backend_call__end (call, LC_RUN_BROKEN);
+    lc_backend_call__finish (call, LC_RUN_BROKEN);
   else if (call->status == 503 && call->is_not_run)
-    lc_backend_call__end (call, LC_RUN_SHED);
+    lc_backend_call__finish (call, LC_RUN_SHED);
   else
-    lc_backend_call__end (call, LC_RUN_OK);
+    lc_backend_call__finish (call, LC_RUN_OK);
 }
 
 /* === private: headers ======================================================================= */
@@ -81,7 +81,7 @@
 }
 
 static void
-lc_backend_call__note (LcBackendCall *call, const h2o_header_t *header)
+lc_backend_call__parse_header (LcBackendCall *call, const h2o_header_t *header)
 {
   const h2o_iovec_t *name = header->name;
 
@@ -97,7 +97,7 @@
 }
 
 static GBytes *
-lc_backend_call__pack (const h2o_header_t *headers, size_t n_headers)
+lc_backend_call__pack_headers (const h2o_header_t *headers, size_t n_headers)
 {
   Lc__Request__Header values[LC_REQUEST_MAX_HEADERS];
   Lc__Request__Header *list[LC_REQUEST_MAX_HEADERS];
@@ -135,18 +135,18 @@
 
   if (error != NULL && error != h2o_http1client_error_is_eos)
     {
-      lc_backend_call__end (call, LC_RUN_BROKEN);
+      lc_backend_call__finish (call, LC_RUN_BROKEN);
       return 0;
     }
   if (call->body->len + (*input)->size > LC_REQUEST_MAX_BODY)
     {
-      lc_backend_call__end (call, LC_RUN_BROKEN);
+      lc_backend_call__finish (call, LC_RUN_BROKEN);
       return -1;
     }
   g_byte_array_append (call->body, (const guint8 *)(*input)->bytes, (guint)(*input)->size);
   h2o_buffer_consume (input, (*input)->size);
   if (error == h2o_http1client_error_is_eos)
-    lc_backend_call__complete (call);
+    lc_backend_call__finish_answer (call);
   return 0;
 }
 
@@ -167,22 +167,22 @@
   (void)header_bytes;
   if (error != NULL && error != h2o_http1client_error_is_eos)
     {
-      lc_backend_call__end (call, LC_RUN_BROKEN);
+      lc_backend_call__finish (call, LC_RUN_BROKEN);
       return NULL;
     }
   call->status = (uint32_t)status;
   for (size_t i = 0; i < n_headers; i++)
-    lc_backend_call__note (call, &headers[i]);
-  call->headers = lc_backend_call__pack (headers, n_headers);
+    lc_backend_call__parse_header (call, &headers[i]);
+  call->headers = lc_backend_call__pack_headers (headers, n_headers);
   if (error == h2o_http1client_error_is_eos)
     {
       call->has_length = false; /* HEAD, 204 and 304 have no body, whatever the header says */
-      lc_backend_call__complete (call);
+      lc_backend_call__finish_answer (call);
       return NULL;
     }
   if (!call->has_length && !call->is_chunked)
     {
-      lc_backend_call__end (call, LC_RUN_BROKEN);
+      lc_backend_call__finish (call, LC_RUN_BROKEN);
       return NULL;
     }
   return lc_backend_call__on_body;
@@ -199,7 +199,7 @@
 
   if (error != NULL)
     {
-      lc_backend_call__end (call, LC_RUN_NOT_SENT);
+      lc_backend_call__finish (call, LC_RUN_NOT_SENT);
       return NULL;
     }
   *buffers = &call->buffer;
@@ -233,7 +233,7 @@
 
 LcBackendCall *
 lc_backend_call_new (
-    LcBackendClient *client, GBytes *request, bool is_head, LcBackendEnd on_end, void *user)
+    LcBackendClient *client, GBytes *request, bool is_head, LcBackendCallback on_end, void *user)
 {
   LcBackendCall *call = g_new0 (LcBackendCall, 1);
   bool was_freed = false;
--- a/src/agent/lc-backend-client.h
+++ b/src/agent/lc-backend-client.h
@@ -46,7 +46,7 @@
 typedef struct LcBackendCall LcBackendCall;
 
 /* `answer` is set with LC_RUN_OK only; the callback owns it. */
-typedef void (*LcBackendEnd) (void *user, LcRunResult how, LcAnswer *answer);
+typedef void (*LcBackendCallback) (void *user, LcRunResult how, LcAnswer *answer);
 
 void lc_backend_client_init (LcBackendClient *client, const LcBackendClientDesc *desc);
 void lc_backend_client_finish (LcBackendClient *client);
@@ -54,7 +54,7 @@
 /* Takes ownership of `request` (head and body).  Returns NULL, after calling `on_end`, if it fails
  * at once. */
 LcBackendCall *lc_backend_call_new (
-    LcBackendClient *client, GBytes *request, bool is_head, LcBackendEnd on_end, void *user);
+    LcBackendClient *client, GBytes *request, bool is_head, LcBackendCallback on_end, void *user);
 void lc_backend_call_cancel (LcBackendCall *call);
 
 #endif /* LC_BACKEND_CLIENT_H */
--- a/src/agent/lc-claim-file.c
+++ b/src/agent/lc-claim-file.c
@@ -12,12 +12,12 @@
 };
 
 static const char LC_CLAIM_FILE_NAME[] = "claims";
-static const char LC_CLAIM_FILE_NEW[] = "claims.new";
+static const char LC_CLAIM_FILE_TEMP_NAME[] = "claims.new";
 
 /* === private: entries ======================================================================= */
 
 static void
-lc_claim_file__add (GByteArray *bytes, uint16_t type, const ProtobufCMessage *message)
+lc_claim_file__encode (GByteArray *bytes, uint16_t type, const ProtobufCMessage *message)
 {
   size_t len = protobuf_c_message_get_packed_size (message);
   guint at = bytes->len;
@@ -28,18 +28,18 @@
 }
 
 static void
-lc_claim_file__add_head (GByteArray *bytes, const LcClaimFileDesc *desc)
+lc_claim_file__encode_head (GByteArray *bytes, const LcClaimFileDesc *desc)
 {
   Lc__Request__ClaimFileHead head = LC__REQUEST__CLAIM_FILE_HEAD__INIT;
 
   head.version = LC_CLAIM_FILE_VERSION;
   head.boot_id = (char *)desc->boot_id;
   head.service = (char *)desc->service;
-  lc_claim_file__add (bytes, LC_FRAME_CLAIM_FILE_HEAD, &head.base);
+  lc_claim_file__encode (bytes, LC_FRAME_CLAIM_FILE_HEAD, &head.base);
 }
 
 static void
-lc_claim_file__add_claim (GByteArray *bytes, const LcClaimRecord *hold)
+lc_claim_file__encode_claim (GByteArray *bytes, const LcClaimRecord *hold)
 {
   Lc__Request__ClaimFileEntry entry = LC__REQUEST__CLAIM_FILE_ENTRY__INIT;
   Lc__Request__ClaimRecord record = LC__REQUEST__CLAIM_RECORD__INIT;
@@ -51,11 +51,11 @@
   record.sequence = hold->sequence;
   entry.record = &record;
   entry.expires_us = hold->expires_us;
-  lc_claim_file__add (bytes, LC_FRAME_CLAIM_FILE_ENTRY, &entry.base);
+  lc_claim_file__encode (bytes, LC_FRAME_CLAIM_FILE_ENTRY, &entry.base);
 }
 
 static void
-lc_claim_file__add_state (GByteArray *bytes, const LcClaimProgress *known)
+lc_claim_file__encode_progress (GByteArray *bytes, const LcClaimProgress *known)
 {
   Lc__Request__ClaimFileEntry entry = LC__REQUEST__CLAIM_FILE_ENTRY__INIT;
   Lc__Request__ClaimFileState state = LC__REQUEST__CLAIM_FILE_STATE__INIT;
@@ -74,13 +74,13 @@
   state.whole = known->complete;
   state.whole_from = known->complete_from;
   entry.state = &state;
-  lc_claim_file__add (bytes, LC_FRAME_CLAIM_FILE_ENTRY, &entry.base);
+  lc_claim_file__encode (bytes, LC_FRAME_CLAIM_FILE_ENTRY, &entry.base);
 }
 
 /* === private: reading ======================================================================= */
 
 static bool
-lc_claim_file__is_ours (const LcClaimFile *file, const LcFrame *frame)
+lc_claim_file__head_matches (const LcClaimFile *file, const LcFrame *frame)
 {
   Lc__Request__ClaimFileHead *head;
   bool is_ours;
@@ -98,7 +98,7 @@
 }
 
 static void
-lc_claim_file__take_state (LcClaimProgress *state, const Lc__Request__ClaimFileState *from)
+lc_claim_file__decode_progress (LcClaimProgress *state, const Lc__Request__ClaimFileState *from)
 {
   memset (state, 0, sizeof *state);
   state->n_incarnations = (uint32_t)MIN (from->n_selves, (size_t)LC_CLAIM_SYNC_MAX_INCARNATIONS);
@@ -109,7 +109,7 @@
 }
 
 static bool
-lc_claim_file__take_entry (const LcFrame *frame, GArray *holds, LcClaimProgress *state)
+lc_claim_file__decode_entry (const LcFrame *frame, GArray *holds, LcClaimProgress *state)
 {
   Lc__Request__ClaimFileEntry *entry =
       frame->type == LC_FRAME_CLAIM_FILE_ENTRY
@@ -129,7 +129,7 @@
       g_array_append_val (holds, hold);
     }
   if (entry->state != NULL)
-    lc_claim_file__take_state (state, entry->state);
+    lc_claim_file__decode_progress (state, entry->state);
   lc__request__claim_file_entry__free_unpacked (entry, NULL);
   return true;
 }
@@ -137,10 +137,10 @@
 /* Decodes all of the file or fails: a claim that is missing could be granted again.  Only the last
  * entry may be truncated. */
 static bool
-lc_claim_file__read (const LcClaimFile *file,
-                     const GByteArray *bytes,
-                     GArray *holds,
-                     LcClaimProgress *state)
+lc_claim_file__decode (const LcClaimFile *file,
+                       const GByteArray *bytes,
+                       GArray *holds,
+                       LcClaimProgress *state)
 {
   size_t at = 0;
   bool is_head = true;
@@ -152,8 +152,8 @@
 
       if (n == 0)
         break;
-      if (n < 0 || (is_head && !lc_claim_file__is_ours (file, &frame)) ||
-          (!is_head && !lc_claim_file__take_entry (&frame, holds, state)))
+      if (n < 0 || (is_head && !lc_claim_file__head_matches (file, &frame)) ||
+          (!is_head && !lc_claim_file__decode_entry (&frame, holds, state)))
         return false;
       is_head = false;
       at += (size_t)n;
@@ -164,14 +164,17 @@
 /* === private: writing ======================================================================= */
 
 static int
-lc_claim_file__append (LcClaimFile *file, const char *name, const GByteArray *bytes, LcError *error)
+lc_claim_file__append_bytes (LcClaimFile *file,
+                             const char *name,
+                             const GByteArray *bytes,
+                             LcError *error)
 {
   return file->desc.disk.append (file->desc.disk.user, name, bytes->data, bytes->len, error);
 }
 
 /* Removes the file: it lacks an entry, so no later process may load it. */
 static void
-lc_claim_file__lose (LcClaimFile *file, int64_t rewrite_at_us)
+lc_claim_file__invalidate (LcClaimFile *file, int64_t rewrite_at_us)
 {
   LcError ignored;
 
@@ -184,10 +187,10 @@
 }
 
 static int
-lc_claim_file__make_anew (LcClaimFile *file,
-                          const LcRequestAgent *agent,
-                          int64_t now_us,
-                          LcError *error)
+lc_claim_file__rewrite (LcClaimFile *file,
+                        const LcRequestAgent *agent,
+                        int64_t now_us,
+                        LcError *error)
 {
   GByteArray *bytes = g_byte_array_new ();
   GHashTableIter iter;
@@ -195,35 +198,36 @@
   int r;
 
   lc_claim_sync_progress (&agent->claim_sync, &file->progress);
-  lc_claim_file__add_head (bytes, &file->desc);
-  lc_claim_file__add_state (bytes, &file->progress);
+  lc_claim_file__encode_head (bytes, &file->desc);
+  lc_claim_file__encode_progress (bytes, &file->progress);
   g_hash_table_iter_init (&iter, agent->store.holds);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     if (((const LcClaimRecord *)value)->expires_us > now_us)
-      lc_claim_file__add_claim (bytes, value);
+      lc_claim_file__encode_claim (bytes, value);
   /* left behind by a failed rewrite */
-  (void)file->desc.disk.remove (file->desc.disk.user, LC_CLAIM_FILE_NEW, error);
-  r = lc_claim_file__append (file, LC_CLAIM_FILE_NEW, bytes, error);
+  (void)file->desc.disk.remove (file->desc.disk.user, LC_CLAIM_FILE_TEMP_NAME, error);
+  r = lc_claim_file__append_bytes (file, LC_CLAIM_FILE_TEMP_NAME, bytes, error);
   if (r == 0)
-    r = file->desc.disk.rename (file->desc.disk.user, LC_CLAIM_FILE_NEW, LC_CLAIM_FILE_NAME, error);
+    r = file->desc.disk.rename (file->desc.disk.user, LC_CLAIM_FILE_TEMP_NAME, LC_CLAIM_FILE_NAME,
+                                error);
   file->bytes = bytes->len;
   file->compacted_bytes = bytes->len;
   file->is_complete = r == 0;
   if (r < 0)
-    lc_claim_file__lose (file, now_us + LC_CLAIM_FILE_RETRY_US);
+    lc_claim_file__invalidate (file, now_us + LC_CLAIM_FILE_REWRITE_US);
   g_byte_array_free (bytes, TRUE);
   return r;
 }
 
 static int
-lc_claim_file__write (LcClaimFile *file, LcError *error)
+lc_claim_file__write_pending (LcClaimFile *file, LcError *error)
 {
-  int r = lc_claim_file__append (file, LC_CLAIM_FILE_NAME, file->pending, error);
+  int r = lc_claim_file__append_bytes (file, LC_CLAIM_FILE_NAME, file->pending, error);
 
   file->bytes += file->pending->len;
   g_byte_array_set_size (file->pending, 0);
   if (r < 0)
-    lc_claim_file__lose (file, 0);
+    lc_claim_file__invalidate (file, 0);
   return r;
 }
 
@@ -254,7 +258,7 @@
   int r;
 
   if (file->desc.disk.read (file->desc.disk.user, LC_CLAIM_FILE_NAME, bytes, error) == 0 &&
-      lc_claim_file__read (file, bytes, holds, &state))
+      lc_claim_file__decode (file, bytes, holds, &state))
     {
       for (guint i = 0; i < holds->len; i++)
         lc_request_agent_resume_claim (agent, &g_array_index (holds, LcClaimRecord, i));
@@ -263,21 +267,21 @@
     }
   g_array_free (holds, TRUE);
   g_byte_array_free (bytes, TRUE);
-  r = lc_claim_file__make_anew (file, agent, now_us, error);
+  r = lc_claim_file__rewrite (file, agent, now_us, error);
   return r < 0 ? r : n;
 }
 
 int
-lc_claim_file_claim (LcClaimFile *file, const LcClaimRecord *hold, LcError *error)
+lc_claim_file_append (LcClaimFile *file, const LcClaimRecord *hold, LcError *error)
 {
   if (!file->is_complete)
     return 0;
-  lc_claim_file__add_claim (file->pending, hold);
-  return lc_claim_file__write (file, error);
+  lc_claim_file__encode_claim (file->pending, hold);
+  return lc_claim_file__write_pending (file, error);
 }
 
 int
-lc_claim_file_settle (LcClaimFile *file,
+lc_claim_file_update (LcClaimFile *file,
                       const LcRequestAgent *agent,
                       int64_t now_us,
                       LcError *error)
@@ -286,12 +290,12 @@
 
   if (!file->is_complete && now_us < file->rewrite_at_us)
     return 0;
-  if (!file->is_complete || file->bytes > 2 * file->compacted_bytes + LC_CLAIM_FILE_SLACK)
-    return lc_claim_file__make_anew (file, agent, now_us, error);
+  if (!file->is_complete || file->bytes > 2 * file->compacted_bytes + LC_CLAIM_FILE_GROWTH)
+    return lc_claim_file__rewrite (file, agent, now_us, error);
   lc_claim_sync_progress (&agent->claim_sync, &state);
   if (lc_claim_progress_equal (&state, &file->progress))
     return 0;
   file->progress = state;
-  lc_claim_file__add_state (file->pending, &state);
-  return lc_claim_file__write (file, error);
+  lc_claim_file__encode_progress (file->pending, &state);
+  return lc_claim_file__write_pending (file, error);
 }
--- a/src/agent/lc-claim-file.h
+++ b/src/agent/lc-claim-file.h
@@ -8,10 +8,10 @@
  * HOW TO USE IT
  *     lc_claim_file_init (&file, &desc);
  *     lc_claim_file_load (&file, &agent, now_us, &error);      right after the agent's init
- *     lc_claim_file_claim (&file, &hold, &error);             before the grant is sent
- *     lc_claim_file_settle (&file, &agent, now_us, &error);    after each batch of decisions
+ *     lc_claim_file_append (&file, &hold, &error);             before the grant is sent
+ *     lc_claim_file_update (&file, &agent, now_us, &error);    after each batch of decisions
  *   The file never lacks a claim: after a failed write it is removed at once, and a later
- *   lc_claim_file_settle rewrites it.
+ *   lc_claim_file_update rewrites it.
  *
  * NO FSYNC
  *   Within one boot of the VM the next process reads everything that was written, even without
@@ -19,7 +19,7 @@
  *   its head.  A truncated last entry was never acted upon.
  *
  * LIMITS
- *   The file is compacted when it exceeds twice its compacted size plus LC_CLAIM_FILE_SLACK: about
+ *   The file is compacted when it exceeds twice its compacted size plus LC_CLAIM_FILE_GROWTH: about
  *   50 MB for the 400 000 claims of a full store.
  */
 #ifndef LC_CLAIM_FILE_H
@@ -30,8 +30,8 @@
 
 enum
 {
-  LC_CLAIM_FILE_SLACK = 1 << 20,    /* bytes: see LIMITS */
-  LC_CLAIM_FILE_RETRY_US = 5000000, /* between attempts to rewrite it after an error */
+  LC_CLAIM_FILE_GROWTH = 1 << 20,     /* bytes: see LIMITS */
+  LC_CLAIM_FILE_REWRITE_US = 5000000, /* between attempts to rewrite it after an error */
 };
 
 typedef struct
@@ -61,11 +61,11 @@
 int lc_claim_file_load (LcClaimFile *file, LcRequestAgent *agent, int64_t now_us, LcError *error);
 
 /* Appends the present state of a claim; written when this returns 0. */
-int lc_claim_file_claim (LcClaimFile *file, const LcClaimRecord *hold, LcError *error);
+int lc_claim_file_append (LcClaimFile *file, const LcClaimRecord *hold, LcError *error);
 
 /* Appends the agent's LcClaimProgress if it has changed, and rewrites the file if it has grown too
  * large or a write had failed. */
-int lc_claim_file_settle (LcClaimFile *file,
+int lc_claim_file_update (LcClaimFile *file,
                           const LcRequestAgent *agent,
                           int64_t now_us,
                           LcError *error);
--- a/src/agent/main.c
+++ b/src/agent/main.c
@@ -29,7 +29,7 @@
 
 /* Whether the backend server reports; the view then lists its instance, not this process's. */
 static bool
-lc_agent__is_reported (const LcAgentProgram *p)
+lc_agent__has_reports (const LcAgentProgram *p)
 {
   return p->settings.report_port != 0;
 }
@@ -42,11 +42,11 @@
   LcAgentProgram *p = user;
 
   if (frame->type >= LC_FRAME_REQUEST_FIRST && p->settings.has_requests)
-    lc_agent_request_frame (&p->request, link, frame);
+    lc_agent_request_handle_frame (&p->request, link, frame);
   else if (frame->type >= LC_FRAME_FLOW_FIRST)
-    lc_agent_flow_frame (&p->flow, link, frame);
+    lc_agent_flow_handle_frame (&p->flow, link, frame);
   else if (frame->type < LC_FRAME_CONTROL_FIRST)
-    lc_member_frame (&p->member, link, frame);
+    lc_member_handle_frame (&p->member, link, frame);
   else
     lc_link_close (link, "frame type is not served here");
 }
@@ -57,24 +57,25 @@
   LcAgentProgram *p = user;
 
   LC_DEBUG ("peer.down", "why", LC_STR (why));
-  lc_member_link_down (&p->member, link);
-  lc_agent_flow_link_down (&p->flow, link);
+  lc_member_handle_link_down (&p->member, link);
+  lc_agent_flow_handle_link_down (&p->flow, link);
   if (p->settings.has_requests)
-    lc_agent_request_link_down (&p->request, link);
+    lc_agent_request_handle_link_down (&p->request, link);
 }
 
 /* Sends the revision that both planes are registered at; control settles former sets by it. */
 static void
-lc_agent__set_registered (LcAgentProgram *p)
+lc_agent__report_registered (LcAgentProgram *p)
 {
-  LcRevision flow = lc_agent_flow_registered (&p->flow);
-  LcRevision request = p->settings.has_requests ? lc_agent_request_registered (&p->request) : flow;
+  LcRevision flow = lc_agent_flow_registered_revision (&p->flow);
+  LcRevision request =
+      p->settings.has_requests ? lc_agent_request_synced_revision (&p->request) : flow;
 
   lc_member_set_registered (&p->member, MIN (flow, request));
 }
 
 static LcFlowBackendState
-lc_agent__backend (const LcAgentProgram *p, int64_t now_us)
+lc_agent__backend_state (const LcAgentProgram *p, int64_t now_us)
 {
   const LcEndpoint *e = lc_member_endpoint (&p->member);
   bool is_candidate = e != NULL && lc_endpoint_is_candidate (e);
@@ -89,14 +90,14 @@
 }
 
 static void
-lc_agent__note_backend (LcAgentProgram *p)
+lc_agent__update_backend (LcAgentProgram *p)
 {
   int64_t now_us = lc_clock_now_us ();
 
-  if (!lc_agent__is_reported (p))
+  if (!lc_agent__has_reports (p))
     return;
   lc_agent_flow_set_cold (&p->flow, lc_backend_status_is_cold (&p->report.status, now_us));
-  lc_agent_flow_set_backend (&p->flow, lc_agent__backend (p, now_us));
+  lc_agent_flow_set_backend_state (&p->flow, lc_agent__backend_state (p, now_us));
 }
 
 static void
@@ -104,8 +105,8 @@
 {
   LcAgentProgram *p = user;
 
-  lc_agent__set_registered (p);
-  lc_agent__note_backend (p);
+  lc_agent__report_registered (p);
+  lc_agent__update_backend (p);
   lc_timer_start (&p->registered_timer, LC_AGENT_REGISTERED_MS);
 }
 
@@ -113,7 +114,7 @@
 
 /* Applies a report before it is answered: a leaving backend server gets no new flow. */
 static void
-lc_agent__on_news (void *user, LcBackendUpdate update, const LcBackendReport *report)
+lc_agent__on_backend_update (void *user, LcBackendUpdate update, const LcBackendReport *report)
 {
   LcAgentProgram *p = user;
 
@@ -127,10 +128,10 @@
     }
   if (report->state != LC_BACKEND_READY)
     {
-      lc_agent_flow_leave (&p->flow);
+      lc_agent_flow_backend_leaving (&p->flow);
       lc_member_leave (&p->member);
     }
-  lc_agent__note_backend (p);
+  lc_agent__update_backend (p);
 }
 
 static void
@@ -138,13 +139,13 @@
 {
   LcAgentProgram *p = user;
 
-  if (lc_agent__is_reported (p) && lc_member_resume (&p->member))
+  if (lc_agent__has_reports (p) && lc_member_adopt_instance (&p->member))
     lc_backend_status_set_listed (&p->report.status, lc_member_instance (&p->member));
-  lc_agent__note_backend (p);
-  lc_agent_flow_view (&p->flow, view, ops, n_ops, is_reset);
+  lc_agent__update_backend (p);
+  lc_agent_flow_set_view (&p->flow, view, ops, n_ops, is_reset);
   if (p->settings.has_requests)
-    lc_agent_request_view (&p->request, view, ops, n_ops, is_reset);
-  lc_agent__set_registered (p);
+    lc_agent_request_set_view (&p->request, view, ops, n_ops, is_reset);
+  lc_agent__report_registered (p);
 }
 
 /* === planned stop =========================================================================== */
@@ -152,14 +153,14 @@
 /* The backend server holds the flows: if only this process stops, the next one finds them there.
  * The endpoint leaves only if the backend server has ended. */
 static void
-lc_agent__on_process_stop (LcAgentProgram *p)
+lc_agent__begin_process_stop (LcAgentProgram *p)
 {
   LcBackendState state = p->report.status.newest.state;
 
   p->stop_at_us = lc_clock_now_us () + LC_AGENT_STOP_MS * LC_US_PER_MS;
   if (state == LC_BACKEND_READY || state == LC_BACKEND_DRAINING)
-    lc_member_keep (&p->member);
-  lc_agent__note_backend (p);
+    lc_member_keep_registration (&p->member);
+  lc_agent__update_backend (p);
 }
 
 static void
@@ -167,9 +168,9 @@
 {
   LcAgentProgram *p = user;
 
-  if (lc_agent__is_reported (p))
+  if (lc_agent__has_reports (p))
     {
-      lc_agent__on_process_stop (p);
+      lc_agent__begin_process_stop (p);
       return;
     }
   lc_member_leave (&p->member);
@@ -183,7 +184,7 @@
 {
   LcAgentProgram *p = user;
 
-  if (lc_agent__is_reported (p))
+  if (lc_agent__has_reports (p))
     return lc_clock_now_us () >= p->stop_at_us;
   return lc_member_has_left (&p->member) && lc_agent_flow_is_idle (&p->flow) &&
          (!p->settings.has_requests || lc_agent_request_is_idle (&p->request));
@@ -205,7 +206,7 @@
   LcAgentSettings fresh = *(const LcAgentSettings *)settings;
 
   lc_settings_set_ports (fresh.balancers, fresh.n_balancers, fresh.balancers_peer_port);
-  lc_member_learn_control (&p->member, fresh.balancers, fresh.n_balancers);
+  lc_member_add_control (&p->member, fresh.balancers, fresh.n_balancers);
 }
 
 /* === start ================================================================================== */
@@ -226,13 +227,13 @@
                         .upstreams = p->settings.balancers,
                         .n_upstreams = p->settings.n_balancers,
                         .ramp_ms = p->settings.ramp_ms,
-                        .starts_unregistered = lc_agent__is_reported (p),
+                        .starts_unregistered = lc_agent__has_reports (p),
                         .reconnect_max_ms = p->settings.reconnect_max_ms,
                         .connect_timeout_ms = p->settings.connect_timeout_ms,
                         .user = p,
                         .changed = lc_agent__on_view };
 
-  desc.endpoint.instance = lc_agent__is_reported (p) ? 0 : instance;
+  desc.endpoint.instance = lc_agent__has_reports (p) ? 0 : instance;
   desc.endpoint.state = LC_ENDPOINT_JOINING;
   desc.endpoint.slots = (uint8_t)p->settings.slots;
   desc.endpoint.weight_percent = (uint16_t)p->settings.weight_percent;
@@ -248,7 +249,7 @@
 lc_agent__start_planes (LcAgentProgram *p, LcInstance instance, LcError *error)
 {
   LcAgentFlowDesc flow = { &p->app, &p->settings, &p->member };
-  LcAgentReportDesc report = { &p->app, &p->settings, p, lc_agent__on_news };
+  LcAgentReportDesc report = { &p->app, &p->settings, p, lc_agent__on_backend_update };
   LcAgentRequestDesc request = { &p->app, &p->settings, &p->member, instance };
   int r = lc_agent_flow_init (&p->flow, &flow, error);
 
--- a/src/balancer/lc-balancer-agents.c
+++ b/src/balancer/lc-balancer-agents.c
@@ -22,7 +22,7 @@
 void
 lc_balancer_request__incoming_free (gpointer data)
 {
-  LcIncoming *incoming = data;
+  LcIncomingAnswer *incoming = data;
 
   lc__request__answer_head__free_unpacked (incoming->head, NULL);
   g_byte_array_unref (incoming->body);
@@ -30,7 +30,7 @@
 }
 
 void
-lc_balancer_request__malformed (LcBalancerRequest *plane, LcLink *link, uint16_t type)
+lc_balancer_request__reject_malformed (LcBalancerRequest *plane, LcLink *link, uint16_t type)
 {
   plane->malformed_total++;
   if (lc_log_allow (&plane->log_limit, lc_clock_now_us (), LC_BALANCER_LOGS_PER_S))
@@ -40,7 +40,7 @@
 }
 
 static void
-lc_balancer_request__take_load (LcBalancerRequest *plane, const Lc__Request__Load *load)
+lc_balancer_request__handle_load (LcBalancerRequest *plane, const Lc__Request__Load *load)
 {
   LcPickReport report;
 
@@ -57,23 +57,23 @@
 /* === private: frames from agents ============================================================ */
 
 static void
-lc_balancer_request__on_answer_head (LcBalancerPeer *peer, LcLink *link, const LcFrame *frame)
+lc_balancer_request__on_answer_head (LcBalancerAgentLink *peer, LcLink *link, const LcFrame *frame)
 {
   LcBalancerRequest *plane = peer->plane;
   Lc__Request__AnswerHead *head =
       lc__request__answer_head__unpack (NULL, frame->payload_len, frame->payload);
-  LcIncoming *incoming;
+  LcIncomingAnswer *incoming;
 
   if (head == NULL || head->body_length > LC_REQUEST_MAX_BODY || head->status < 200 ||
       head->status > 999)
     {
       if (head != NULL)
         lc__request__answer_head__free_unpacked (head, NULL);
-      lc_balancer_request__malformed (plane, link, frame->type);
+      lc_balancer_request__reject_malformed (plane, link, frame->type);
       return;
     }
-  lc_balancer_request__take_load (plane, head->load);
-  incoming = g_new0 (LcIncoming, 1);
+  lc_balancer_request__handle_load (plane, head->load);
+  incoming = g_new0 (LcIncomingAnswer, 1);
   incoming->ref = (LcAttemptRef){ { head->id_hi, head->id_lo }, head->attempt, peer->link_id };
   incoming->head = head;
   incoming->body = g_byte_array_new ();
@@ -81,7 +81,7 @@
       !lc_request_balancer_is_attempt_open (&plane->core, &incoming->ref) ||
       plane->incoming_bytes + head->body_length > LC_BALANCER_MAX_INCOMING_BYTES)
     {
-      lc_balancer_request__end_incoming (plane, incoming);
+      lc_balancer_request__complete_incoming (plane, incoming);
       lc_balancer_request__incoming_free (incoming);
       return;
     }
@@ -90,7 +90,7 @@
 }
 
 static bool
-lc_balancer_request__add_part (LcIncoming *incoming, const Lc__Request__AnswerBody *part)
+lc_balancer_request__add_part (LcIncomingAnswer *incoming, const Lc__Request__AnswerBody *part)
 {
   if (part->offset != incoming->body->len ||
       part->data.len > incoming->head->body_length - incoming->body->len)
@@ -100,18 +100,18 @@
 }
 
 static void
-lc_balancer_request__on_answer_body (LcBalancerPeer *peer, LcLink *link, const LcFrame *frame)
+lc_balancer_request__on_answer_body (LcBalancerAgentLink *peer, LcLink *link, const LcFrame *frame)
 {
   LcBalancerRequest *plane = peer->plane;
   Lc__Request__AnswerBody *part =
       lc__request__answer_body__unpack (NULL, frame->payload_len, frame->payload);
   LcAttemptRef ref;
-  LcIncoming *incoming;
+  LcIncomingAnswer *incoming;
   bool is_valid;
 
   if (part == NULL)
     {
-      lc_balancer_request__malformed (plane, link, frame->type);
+      lc_balancer_request__reject_malformed (plane, link, frame->type);
       return;
     }
   ref = (LcAttemptRef){ { part->id_hi, part->id_lo }, part->attempt, peer->link_id };
@@ -122,12 +122,12 @@
     return;
   plane->incoming_bytes -= incoming->head->body_length;
   g_hash_table_steal (plane->incoming, &ref);
-  lc_balancer_request__end_incoming (plane, incoming);
+  lc_balancer_request__complete_incoming (plane, incoming);
   lc_balancer_request__incoming_free (incoming);
 }
 
 static void
-lc_balancer_request__on_refuse (LcBalancerPeer *peer, LcLink *link, const LcFrame *frame)
+lc_balancer_request__on_refuse (LcBalancerAgentLink *peer, LcLink *link, const LcFrame *frame)
 {
   LcBalancerRequest *plane = peer->plane;
   Lc__Request__Refuse *refuse =
@@ -137,10 +137,10 @@
 
   if (refuse == NULL)
     {
-      lc_balancer_request__malformed (plane, link, frame->type);
+      lc_balancer_request__reject_malformed (plane, link, frame->type);
       return;
     }
-  lc_balancer_request__take_load (plane, refuse->load);
+  lc_balancer_request__handle_load (plane, refuse->load);
   ref = (LcAttemptRef){ { refuse->id_hi, refuse->id_lo }, refuse->attempt, peer->link_id };
   refusal = (LcRefusal){ .reason = (LcRefuseReason)refuse->reason,
                          .is_claimed = refuse->checked,
@@ -162,16 +162,16 @@
 }
 
 static void
-lc_balancer_request__on_load (LcBalancerPeer *peer, LcLink *link, const LcFrame *frame)
+lc_balancer_request__on_load (LcBalancerAgentLink *peer, LcLink *link, const LcFrame *frame)
 {
   Lc__Request__Load *load = lc__request__load__unpack (NULL, frame->payload_len, frame->payload);
 
   if (load == NULL)
     {
-      lc_balancer_request__malformed (peer->plane, link, frame->type);
+      lc_balancer_request__reject_malformed (peer->plane, link, frame->type);
       return;
     }
-  lc_balancer_request__take_load (peer->plane, load);
+  lc_balancer_request__handle_load (peer->plane, load);
   lc__request__load__free_unpacked (load, NULL);
 }
 
@@ -180,7 +180,7 @@
 static void
 lc_balancer_request__on_frame (void *user, LcLink *link, const LcFrame *frame)
 {
-  LcBalancerPeer *peer = user;
+  LcBalancerAgentLink *peer = user;
 
   switch (frame->type)
     {
@@ -197,15 +197,15 @@
       lc_balancer_request__on_load (peer, link, frame);
       break;
     default:
-      lc_balancer_request__malformed (peer->plane, link, frame->type);
+      lc_balancer_request__reject_malformed (peer->plane, link, frame->type);
       break;
     }
-  lc_balancer_request__act (peer->plane);
+  lc_balancer_request__run_actions (peer->plane);
 }
 
 /* This link's endpoint in the current view, or NULL. */
 static const LcEndpoint *
-lc_balancer_request__endpoint (const LcBalancerPeer *peer, const LcView *view)
+lc_balancer_request__find_endpoint (const LcBalancerAgentLink *peer, const LcView *view)
 {
   const LcEndpoint *e = lc_view_endpoint (view, peer->endpoint_id);
 
@@ -213,10 +213,10 @@
 }
 
 static void
-lc_balancer_request__set_reachable (const LcBalancerPeer *peer, bool is_reachable)
+lc_balancer_request__set_reachable (const LcBalancerAgentLink *peer, bool is_reachable)
 {
   const LcEndpoint *e =
-      lc_balancer_request__endpoint (peer, lc_member_view (peer->plane->desc.member));
+      lc_balancer_request__find_endpoint (peer, lc_member_view (peer->plane->desc.member));
 
   if (e != NULL)
     lc_request_balancer_set_reachable (&peer->plane->core, e->instance, is_reachable,
@@ -226,18 +226,18 @@
 static void
 lc_balancer_request__on_up (void *user, LcLink *link)
 {
-  LcBalancerPeer *peer = user;
+  LcBalancerAgentLink *peer = user;
 
   peer->link_id = ++peer->plane->next_link_id;
   lc_balancer_request__set_reachable (peer, true);
-  lc_balancer_request__act (peer->plane);
+  lc_balancer_request__run_actions (peer->plane);
 }
 
 static gboolean
 lc_balancer_request__is_of_link (gpointer key, gpointer value, gpointer user)
 {
-  LcBalancerPeer *peer = user;
-  const LcIncoming *incoming = value;
+  LcBalancerAgentLink *peer = user;
+  const LcIncomingAnswer *incoming = value;
 
   if (incoming->ref.link_id != peer->link_id)
     return FALSE;
@@ -248,30 +248,33 @@
 static void
 lc_balancer_request__on_down (void *user, LcLink *link, const char *why)
 {
-  LcBalancerPeer *peer = user;
+  LcBalancerAgentLink *peer = user;
   uint64_t link_id = peer->link_id;
 
   g_hash_table_foreach_remove (peer->plane->incoming, lc_balancer_request__is_of_link, peer);
   peer->link_id = 0;
   lc_balancer_request__set_reachable (peer, false);
   lc_request_balancer_handle_link_down (&peer->plane->core, link_id, lc_clock_now_us ());
-  lc_balancer_request__act (peer->plane);
+  lc_balancer_request__run_actions (peer->plane);
 }
 
 void
-lc_balancer_request__peer_free (gpointer data)
+lc_balancer_request__agent_link_free (gpointer data)
 {
-  LcBalancerPeer *peer = data;
+  LcBalancerAgentLink *peer = data;
 
   lc_link_client_finish (&peer->client);
   g_free (peer);
 }
 
-LcBalancerPeer *
-lc_balancer_request__peer (LcBalancerRequest *plane, LcEndpointId id, uint32_t ipv4, uint16_t port)
+LcBalancerAgentLink *
+lc_balancer_request__get_agent_link (LcBalancerRequest *plane,
+                                     LcEndpointId id,
+                                     uint32_t ipv4,
+                                     uint16_t port)
 {
   uint64_t key = lc_address_pack (ipv4, port);
-  LcBalancerPeer *peer = g_hash_table_lookup (plane->agents, &key);
+  LcBalancerAgentLink *peer = g_hash_table_lookup (plane->agents, &key);
   LcLinkClientDesc desc = { .loop = plane->desc.app->loop,
                             .ipv4 = ipv4,
                             .port = port,
@@ -282,7 +285,7 @@
       peer->endpoint_id = id;
       return peer;
     }
-  peer = g_new0 (LcBalancerPeer, 1);
+  peer = g_new0 (LcBalancerAgentLink, 1);
   peer->plane = plane;
   peer->endpoint_id = id;
   peer->ipv4 = ipv4;
@@ -298,11 +301,11 @@
 static gboolean
 lc_balancer_request__is_unused (gpointer key, gpointer value, gpointer user)
 {
-  return lc_balancer_request__endpoint (value, user) == NULL;
+  return lc_balancer_request__find_endpoint (value, user) == NULL;
 }
 
 void
-lc_balancer_request__drop_peers (LcBalancerRequest *plane, const LcView *view)
+lc_balancer_request__close_unused_links (LcBalancerRequest *plane, const LcView *view)
 {
   g_hash_table_foreach_remove (plane->agents, lc_balancer_request__is_unused, (gpointer)view);
 }
--- a/src/balancer/lc-balancer-flow.c
+++ b/src/balancer/lc-balancer-flow.c
@@ -9,30 +9,30 @@
 {
   LC_BALANCER_FLOW_TICK_MS = 50,    /* probe interval */
   LC_BALANCER_FLOW_PROBES_MAX = 64, /* per tick; the others follow at the next */
-  LC_BALANCER_FLOW_REACH_LOG_PER_S = 10,
+  LC_BALANCER_FLOW_PROBE_LOG_PER_S = 10,
 };
 
 /* === private: packets ======================================================================= */
 
 static LcFlowLogLine
-lc_balancer_flow__line (const LcBalancerFlow *plane,
-                        LcFlowLogKind kind,
-                        const LcFlowKey *key,
-                        int64_t now_us)
+lc_balancer_flow__make_log_line (const LcBalancerFlow *plane,
+                                 LcFlowLogKind kind,
+                                 const LcFlowKey *key,
+                                 int64_t now_us)
 {
   const LcView *view = plane->balancer.view;
 
   return (LcFlowLogLine){ .kind = kind,
                           .key = key,
                           .revision = view != NULL ? view->revision : 0,
-                          .view_age_us = lc_member_silence_us (plane->desc.member, now_us) };
+                          .view_age_us = lc_member_view_age_us (plane->desc.member, now_us) };
 }
 
 static void
 lc_balancer_flow__drop (LcBalancerFlow *plane, LcDropReason reason, const LcFlowKey *key)
 {
   int64_t now_us = lc_clock_now_us ();
-  LcFlowLogLine line = lc_balancer_flow__line (plane, LC_FLOW_LOG_DROPPED, key, now_us);
+  LcFlowLogLine line = lc_balancer_flow__make_log_line (plane, LC_FLOW_LOG_DROPPED, key, now_us);
 
   plane->dropped_total[reason]++;
   line.why = lc_drop_reason_name (reason);
@@ -44,7 +44,8 @@
 lc_balancer_flow__log_steered (LcBalancerFlow *plane, const LcPacket *packet, const LcCandidate *to)
 {
   int64_t now_us = lc_clock_now_us ();
-  LcFlowLogLine line = lc_balancer_flow__line (plane, LC_FLOW_LOG_STEERED, &packet->key, now_us);
+  LcFlowLogLine line =
+      lc_balancer_flow__make_log_line (plane, LC_FLOW_LOG_STEERED, &packet->key, now_us);
 
   line.n_copies = packet->n_copies;
   line.to = (LcSocketAddress){ .ipv4 = to->ipv4, .port = to->port };
@@ -62,10 +63,10 @@
 /* Rejects a flow whose first packet can't be forwarded, so that the caller need not time out.  A
  * copy of it gets no reset, since the flow may have been opened by an earlier copy. */
 static void
-lc_balancer_flow__reset (LcBalancerFlow *plane, const LcPacket *packet)
+lc_balancer_flow__send_reset (LcBalancerFlow *plane, const LcPacket *packet)
 {
   uint8_t bytes[LC_PACKET_RESET_BYTES];
-  size_t len = lc_packet_format_reset (lc_balancer_flow__format (plane), packet, bytes);
+  size_t len = lc_packet_format_build_reset (lc_balancer_flow__format (plane), packet, bytes);
 
   if (len == 0)
     return;
@@ -86,7 +87,7 @@
     {
       lc_balancer_flow__drop (plane, (LcDropReason)-r, &packet->key);
       if (packet->may_open && packet->n_copies == 0)
-        lc_balancer_flow__reset (plane, packet);
+        lc_balancer_flow__send_reset (plane, packet);
       return;
     }
   plane->steered_total++;
@@ -107,7 +108,7 @@
 }
 
 static void
-lc_balancer_flow__take_packet (
+lc_balancer_flow__handle_packet (
     LcBalancerFlow *plane, uint8_t *bytes, size_t len, uint32_t ipv4, uint16_t port)
 {
   LcPacket packet;
@@ -124,7 +125,7 @@
 
 /* Steers the packets that were buffered before the first view. */
 static void
-lc_balancer_flow__steer_held (LcBalancerFlow *plane)
+lc_balancer_flow__steer_buffered (LcBalancerFlow *plane)
 {
   uint64_t n_held = plane->buffer.held_total;
   uint32_t n_steered = 0;
@@ -134,7 +135,7 @@
     return;
   while ((held = lc_packet_buffer_take (&plane->buffer, lc_clock_now_us ())) != NULL)
     {
-      lc_balancer_flow__take_packet (plane, held->bytes, held->len, 0, 0);
+      lc_balancer_flow__handle_packet (plane, held->bytes, held->len, 0, 0);
       n_steered++;
     }
   lc_datagram_flush (&plane->port);
@@ -150,7 +151,7 @@
   if (lc_envelope_kind (bytes, len) == LC_ENVELOPE_PROBE_ANSWER)
     lc_probe_detector_record_answer (&plane->probes, ipv4, port, lc_clock_now_us ());
   else
-    lc_balancer_flow__take_packet (plane, bytes, len, ipv4, port);
+    lc_balancer_flow__handle_packet (plane, bytes, len, ipv4, port);
 }
 
 static void
@@ -162,7 +163,7 @@
 }
 
 static void
-lc_balancer_flow__note_alone (LcBalancerFlow *plane, bool is_isolated)
+lc_balancer_flow__set_isolated (LcBalancerFlow *plane, bool is_isolated)
 {
   if (plane->is_isolated == is_isolated)
     return;
@@ -175,12 +176,12 @@
 }
 
 static void
-lc_balancer_flow__note_reach (LcBalancerFlow *plane, int64_t now_us)
+lc_balancer_flow__log_suspects (LcBalancerFlow *plane, int64_t now_us)
 {
   LcProbeDetectorChange change;
 
   while (lc_probe_detector_next_change (&plane->probes, now_us, &change))
-    if (lc_log_allow (&plane->probe_log_limit, now_us, LC_BALANCER_FLOW_REACH_LOG_PER_S))
+    if (lc_log_allow (&plane->probe_log_limit, now_us, LC_BALANCER_FLOW_PROBE_LOG_PER_S))
       LC_INFO (change.is_suspect ? "agent.suspect" : "agent.answers", "ipv4",
                LC_U64 (change.address.ipv4), "port", LC_U64 (change.address.port), "silent_ms",
                LC_I64 (change.silent_us / LC_US_PER_MS), "left_out",
@@ -189,7 +190,7 @@
 
 /* Probes the agents in use, and passes over those that don't answer. */
 static void
-lc_balancer_flow__probe (LcBalancerFlow *plane, int64_t now_us)
+lc_balancer_flow__send_probes (LcBalancerFlow *plane, int64_t now_us)
 {
   LcProbeDetectorAddress due[LC_BALANCER_FLOW_PROBES_MAX];
   uint32_t n =
@@ -201,8 +202,8 @@
     (void)lc_datagram_send (&plane->port, due[i].ipv4, due[i].port, bytes, sizeof bytes, NULL, 0);
   lc_datagram_flush (&plane->port);
   lc_flow_balancer_mark_suspects (&plane->balancer, &plane->probes, now_us);
-  lc_balancer_flow__note_reach (plane, now_us);
-  lc_balancer_flow__note_alone (plane, lc_probe_detector_is_isolated (&plane->probes, now_us));
+  lc_balancer_flow__log_suspects (plane, now_us);
+  lc_balancer_flow__set_isolated (plane, lc_probe_detector_is_isolated (&plane->probes, now_us));
 }
 
 static void
@@ -211,12 +212,12 @@
   LcBalancerFlow *plane = user;
 
   if (plane->balancer.is_returning)
-    lc_balancer_flow__probe (plane, lc_clock_now_us ());
+    lc_balancer_flow__send_probes (plane, lc_clock_now_us ());
 
   lc_timer_start (&plane->timer, LC_BALANCER_FLOW_TICK_MS);
-  lc_flow_meter_bring (&plane->meter);
+  lc_flow_meter_publish (&plane->meter);
   lc_flow_balancer_set_cut_off (&plane->balancer,
-                                lc_member_silence_us (plane->desc.member, lc_clock_now_us ()) >
+                                lc_member_view_age_us (plane->desc.member, lc_clock_now_us ()) >
                                     (int64_t)plane->desc.settings->lease_ms * LC_US_PER_MS);
 }
 
@@ -247,7 +248,7 @@
 }
 
 static LcDcId
-lc_balancer_flow__dc (const LcBalancerFlow *plane, const LcView *view)
+lc_balancer_flow__find_dc (const LcBalancerFlow *plane, const LcView *view)
 {
   const LcDataCentre *dc = lc_view_dc_by_name (view, plane->desc.settings->data_centre);
 
@@ -294,19 +295,19 @@
 }
 
 void
-lc_balancer_flow_view (
+lc_balancer_flow_handle_view (
     LcBalancerFlow *plane, const LcView *view, const LcViewOp *ops, size_t n_ops, bool is_reset)
 {
   (void)ops;
   (void)n_ops;
   (void)is_reset;
-  plane->balancer.dc = lc_balancer_flow__dc (plane, view);
+  plane->balancer.dc = lc_balancer_flow__find_dc (plane, view);
   lc_flow_balancer_set_view (&plane->balancer, view);
-  lc_balancer_flow__steer_held (plane);
+  lc_balancer_flow__steer_buffered (plane);
 }
 
 void
-lc_balancer_flow_frame (LcBalancerFlow *plane, LcLink *link, const LcFrame *frame)
+lc_balancer_flow_handle_frame (LcBalancerFlow *plane, LcLink *link, const LcFrame *frame)
 {
   (void)plane;
   (void)frame;
@@ -314,7 +315,7 @@
 }
 
 void
-lc_balancer_flow_link_down (LcBalancerFlow *plane, LcLink *link)
+lc_balancer_flow_handle_link_down (LcBalancerFlow *plane, LcLink *link)
 {
   (void)plane;
   (void)link;
@@ -329,7 +330,7 @@
 }
 
 bool
-lc_balancer_flow_is_alone (const LcBalancerFlow *plane)
+lc_balancer_flow_is_isolated (const LcBalancerFlow *plane)
 {
   return plane->is_isolated;
 }
--- a/src/balancer/lc-balancer-flow.h
+++ b/src/balancer/lc-balancer-flow.h
@@ -57,15 +57,15 @@
 int lc_balancer_flow_init (LcBalancerFlow *plane, const LcBalancerFlowDesc *desc, LcError *error);
 void lc_balancer_flow_finish (LcBalancerFlow *plane);
 /* After each batch of operations, or with `is_reset` after the view was replaced. */
-void lc_balancer_flow_view (
+void lc_balancer_flow_handle_view (
     LcBalancerFlow *plane, const LcView *view, const LcViewOp *ops, size_t n_ops, bool is_reset);
 /* Closes the link: this plane has no frames. */
-void lc_balancer_flow_frame (LcBalancerFlow *plane, LcLink *link, const LcFrame *frame);
-void lc_balancer_flow_link_down (LcBalancerFlow *plane, LcLink *link);
+void lc_balancer_flow_handle_frame (LcBalancerFlow *plane, LcLink *link, const LcFrame *frame);
+void lc_balancer_flow_handle_link_down (LcBalancerFlow *plane, LcLink *link);
 /* Begins a planned stop. */
 void lc_balancer_flow_drain (LcBalancerFlow *plane);
 /* Whether no agent answers probes, so that nothing can be forwarded. */
-bool lc_balancer_flow_is_alone (const LcBalancerFlow *plane);
+bool lc_balancer_flow_is_isolated (const LcBalancerFlow *plane);
 bool lc_balancer_flow_is_idle (const LcBalancerFlow *plane);
 
 #endif
--- a/src/balancer/lc-balancer-request-private.h
+++ b/src/balancer/lc-balancer-request-private.h
@@ -20,8 +20,8 @@
   LC_BALANCER_MAX_INCOMING_BYTES = 256 << 20,
 };
 
-#define LC_BALANCER_POLL_EVERY_US (50 * LC_US_PER_MS)
-#define LC_BALANCER_SHOW_EVERY_US LC_US_PER_S
+#define LC_BALANCER_POLL_INTERVAL_US (50 * LC_US_PER_MS)
+#define LC_BALANCER_METRICS_INTERVAL_US LC_US_PER_S
 
 /* The link to an agent. */
 typedef struct
@@ -32,7 +32,7 @@
   LcEndpointId endpoint_id;
   uint32_t ipv4;
   uint16_t port;
-} LcBalancerPeer;
+} LcBalancerAgentLink;
 
 /* A caller's request in flight; allocated in the h2o request's pool. */
 typedef struct
@@ -50,17 +50,19 @@
   LcAttemptRef ref;
   Lc__Request__AnswerHead *head;
   GByteArray *body;
-} LcIncoming;
+} LcIncomingAnswer;
 
-void lc_balancer_request__end_incoming (LcBalancerRequest *plane, LcIncoming *incoming);
-void lc_balancer_request__act (LcBalancerRequest *plane);
+void lc_balancer_request__complete_incoming (LcBalancerRequest *plane, LcIncomingAnswer *incoming);
+void lc_balancer_request__run_actions (LcBalancerRequest *plane);
 guint lc_balancer_request__ref_hash (gconstpointer data);
 gboolean lc_balancer_request__ref_equal (gconstpointer a, gconstpointer b);
 void lc_balancer_request__incoming_free (gpointer data);
-void lc_balancer_request__malformed (LcBalancerRequest *plane, LcLink *link, uint16_t type);
-void lc_balancer_request__peer_free (gpointer data);
-LcBalancerPeer *
-lc_balancer_request__peer (LcBalancerRequest *plane, LcEndpointId id, uint32_t ipv4, uint16_t port);
-void lc_balancer_request__drop_peers (LcBalancerRequest *plane, const LcView *view);
+void lc_balancer_request__reject_malformed (LcBalancerRequest *plane, LcLink *link, uint16_t type);
+void lc_balancer_request__agent_link_free (gpointer data);
+LcBalancerAgentLink *lc_balancer_request__get_agent_link (LcBalancerRequest *plane,
+                                                          LcEndpointId id,
+                                                          uint32_t ipv4,
+                                                          uint16_t port);
+void lc_balancer_request__close_unused_links (LcBalancerRequest *plane, const LcView *view);
 
 #endif /* LC_BALANCER_REQUEST_PRIVATE_H */
--- a/src/balancer/lc-balancer-request.c
+++ b/src/balancer/lc-balancer-request.c
@@ -3,7 +3,7 @@
 /* === private: calls ========================================================================= */
 
 static LcBalancerCall *
-lc_balancer_request__call (const LcBalancerRequest *plane, uint64_t flight_id)
+lc_balancer_request__find_call (const LcBalancerRequest *plane, uint64_t flight_id)
 {
   return g_hash_table_lookup (plane->calls, &flight_id);
 }
@@ -43,11 +43,11 @@
   g_hash_table_remove (plane->calls, &call->flight_id);
   lc_request_balancer_cancel (&plane->core, call->flight_id, lc_clock_now_us ());
   call->flight_id = 0;
-  lc_balancer_request__act (plane);
+  lc_balancer_request__run_actions (plane);
 }
 
 static LcBurnCounter
-lc_balancer_request__burn (const LcService *s, int64_t took_us)
+lc_balancer_request__classify_latency (const LcService *s, int64_t took_us)
 {
   uint32_t objective_ms =
       s->objective_latency_ms != 0 ? s->objective_latency_ms : LC_BALANCER_OBJECTIVE_MS;
@@ -61,7 +61,7 @@
                                  uint64_t flight_id,
                                  const LcOutcome *failure)
 {
-  LcBalancerCall *call = lc_balancer_request__call (plane, flight_id);
+  LcBalancerCall *call = lc_balancer_request__find_call (plane, flight_id);
   int64_t took_us;
   const LcService *s;
 
@@ -73,7 +73,8 @@
   call->flight_id = 0;
   lc_metric_observe_us (plane->latency, took_us);
   if (s != NULL && failure == NULL)
-    lc_burn_add (&plane->desc.app->burn, s->name, lc_balancer_request__burn (s, took_us), 1);
+    lc_burn_add (&plane->desc.app->burn, s->name,
+                 lc_balancer_request__classify_latency (s, took_us), 1);
   else if (s != NULL)
     lc_burn_add (&plane->desc.app->burn, s->name,
                  *failure == LC_OUTCOME_NOT_RUN ? LC_BURN_REFUSED : LC_BURN_UNKNOWN, 1);
@@ -81,7 +82,9 @@
 }
 
 static void
-lc_balancer_request__give (LcBalancerRequest *plane, uint64_t flight_id, const LcIncoming *incoming)
+lc_balancer_request__deliver_answer (LcBalancerRequest *plane,
+                                     uint64_t flight_id,
+                                     const LcIncomingAnswer *incoming)
 {
   LcBalancerCall *call = lc_balancer_request__close_call (plane, flight_id, NULL);
 
@@ -90,12 +93,12 @@
   lc_balancer_request__log (
       plane, LC_REQUEST_LOG_ANSWERED, &call->request,
       (LcRequestLogLine){ .attempt = incoming->ref.number, .status = incoming->head->status });
-  lc_caller_answer (call->req, &call->request, incoming->head, incoming->body->data,
-                    incoming->body->len);
+  lc_caller_send_answer (call->req, &call->request, incoming->head, incoming->body->data,
+                         incoming->body->len);
 }
 
 static bool
-lc_balancer_request__is_whole (const LcIncoming *incoming)
+lc_balancer_request__is_whole (const LcIncomingAnswer *incoming)
 {
   return incoming->body->len == incoming->head->body_length &&
          lc_request_checksum (incoming->body->data, incoming->body->len) ==
@@ -104,24 +107,24 @@
 
 /* Completes an answer: all its parts were received, or one was invalid. */
 void
-lc_balancer_request__end_incoming (LcBalancerRequest *plane, LcIncoming *incoming)
+lc_balancer_request__complete_incoming (LcBalancerRequest *plane, LcIncomingAnswer *incoming)
 {
   uint64_t flight_id = lc_request_balancer_handle_answer (
       &plane->core, &incoming->ref, lc_balancer_request__is_whole (incoming),
       incoming->head->status, lc_clock_now_us ());
 
   if (flight_id != 0)
-    lc_balancer_request__give (plane, flight_id, incoming);
+    lc_balancer_request__deliver_answer (plane, flight_id, incoming);
 }
 
 /* === private: actions ======================================================================= */
 
 static void
-lc_balancer_request__send (LcBalancerRequest *plane, const LcBalancerAction *action)
+lc_balancer_request__send_attempt (LcBalancerRequest *plane, const LcBalancerAction *action)
 {
-  LcBalancerCall *call = lc_balancer_request__call (plane, action->flight_id);
-  LcBalancerPeer *peer = lc_balancer_request__peer (plane, action->send.ref.id, action->send.ipv4,
-                                                    action->send.peer_port);
+  LcBalancerCall *call = lc_balancer_request__find_call (plane, action->flight_id);
+  LcBalancerAgentLink *peer = lc_balancer_request__get_agent_link (
+      plane, action->send.ref.id, action->send.ipv4, action->send.peer_port);
   LcLink *link = lc_link_client_link (&peer->client);
 
   if (call == NULL)
@@ -148,14 +151,14 @@
 static gboolean
 lc_balancer_request__has_link_id (gpointer key, gpointer value, gpointer user)
 {
-  return ((const LcBalancerPeer *)value)->link_id == *(const uint64_t *)user;
+  return ((const LcBalancerAgentLink *)value)->link_id == *(const uint64_t *)user;
 }
 
 static void
-lc_balancer_request__cancel (LcBalancerRequest *plane, const LcBalancerAction *action)
+lc_balancer_request__send_cancel (LcBalancerRequest *plane, const LcBalancerAction *action)
 {
   uint64_t link_id = action->cancel.link_id;
-  LcBalancerPeer *peer =
+  LcBalancerAgentLink *peer =
       g_hash_table_find (plane->agents, lc_balancer_request__has_link_id, &link_id);
   Lc__Request__Cancel message = LC__REQUEST__CANCEL__INIT;
 
@@ -168,7 +171,7 @@
 }
 
 static void
-lc_balancer_request__fail (LcBalancerRequest *plane, const LcBalancerAction *action)
+lc_balancer_request__send_failure (LcBalancerRequest *plane, const LcBalancerAction *action)
 {
   LcBalancerCall *call =
       lc_balancer_request__close_call (plane, action->flight_id, &action->fail.outcome);
@@ -179,31 +182,31 @@
                             (LcRequestLogLine){ .why = lc_refuse_name (action->fail.reason),
                                                 .outcome = lc_outcome_name (action->fail.outcome),
                                                 .retry_after_us = action->fail.retry_after_us });
-  lc_caller_fail (call->req, &call->request, action);
+  lc_caller_send_failure (call->req, &call->request, action);
 }
 
 static void
-lc_balancer_request__act_one (LcBalancerRequest *plane, const LcBalancerAction *action)
+lc_balancer_request__run_action (LcBalancerRequest *plane, const LcBalancerAction *action)
 {
   switch (action->kind)
     {
     case LC_BALANCER_SEND:
-      lc_balancer_request__send (plane, action);
+      lc_balancer_request__send_attempt (plane, action);
       break;
     case LC_BALANCER_CANCEL:
-      lc_balancer_request__cancel (plane, action);
+      lc_balancer_request__send_cancel (plane, action);
       break;
     case LC_BALANCER_ANSWER:
-      break; /* sent by lc_balancer_request__end_incoming */
+      break; /* sent by lc_balancer_request__complete_incoming */
     case LC_BALANCER_FAIL:
-      lc_balancer_request__fail (plane, action);
+      lc_balancer_request__send_failure (plane, action);
       break;
     }
 }
 
 /* An action may queue further ones; only the outermost call runs them. */
 void
-lc_balancer_request__act (LcBalancerRequest *plane)
+lc_balancer_request__run_actions (LcBalancerRequest *plane)
 {
   LcBalancerAction action;
 
@@ -211,7 +214,7 @@
     return;
   plane->is_acting = true;
   while (lc_request_balancer_next_action (&plane->core, &action))
-    lc_balancer_request__act_one (plane, &action);
+    lc_balancer_request__run_action (plane, &action);
   plane->is_acting = false;
 }
 
@@ -238,12 +241,12 @@
                                                                ? lc_refuse_name (verdict.reason)
                                                                : verdict.message,
                                                     .status = verdict.status });
-      lc_caller_refuse (req, &call->request, &verdict);
+      lc_caller_send_refusal (req, &call->request, &verdict);
       return 0;
     }
   call->service_id = call->request.service->id;
   g_hash_table_insert (plane->calls, &call->flight_id, call);
-  lc_balancer_request__act (plane);
+  lc_balancer_request__run_actions (plane);
   return 0;
 }
 
@@ -260,7 +263,7 @@
       LcBalancerCall *call = at->data;
       uint64_t flight_id = call->flight_id;
 
-      if (!lc_caller_is_gone (call->req))
+      if (!lc_caller_has_disconnected (call->req))
         continue;
       lc_balancer_request__log (plane, LC_REQUEST_LOG_LEFT, &call->request,
                                 (LcRequestLogLine){ 0 });
@@ -273,7 +276,7 @@
   g_list_free (calls);
 }
 
-static const char *const LC_BALANCER_REQUEST_NAMES[LC_BALANCER_REQUEST_METRICS][2] = {
+static const char *const LC_BALANCER_REQUEST_METRIC_NAMES[LC_BALANCER_REQUEST_METRICS][2] = {
   { "lychee_request_requests_total", "Requests of callers" },
   { "lychee_request_attempts_total", "Attempts sent to agents" },
   { "lychee_request_retries_total", "Attempts after the first one" },
@@ -285,7 +288,7 @@
 };
 
 static void
-lc_balancer_request__show_metrics (LcBalancerRequest *plane)
+lc_balancer_request__update_metrics (LcBalancerRequest *plane)
 {
   const LcRequestBalancerStats *s = &plane->core.stats;
   uint64_t values[LC_BALANCER_REQUEST_METRICS] = {
@@ -307,17 +310,17 @@
   int64_t now_us = lc_clock_now_us ();
 
   lc_request_balancer_tick (&plane->core, now_us);
-  lc_balancer_request__act (plane);
-  if (now_us - plane->polled_us >= LC_BALANCER_POLL_EVERY_US)
+  lc_balancer_request__run_actions (plane);
+  if (now_us - plane->polled_us >= LC_BALANCER_POLL_INTERVAL_US)
     {
       plane->polled_us = now_us;
       lc_balancer_request__poll_callers (plane);
-      lc_balancer_request__act (plane);
+      lc_balancer_request__run_actions (plane);
     }
-  if (now_us - plane->metrics_us >= LC_BALANCER_SHOW_EVERY_US)
+  if (now_us - plane->metrics_us >= LC_BALANCER_METRICS_INTERVAL_US)
     {
       plane->metrics_us = now_us;
-      lc_balancer_request__show_metrics (plane);
+      lc_balancer_request__update_metrics (plane);
     }
   lc_timer_start (&plane->timer, LC_BALANCER_TICK_MS);
 }
@@ -325,7 +328,7 @@
 /* === public ================================================================================= */
 
 static LcDcId
-lc_balancer_request__own_dc (const LcBalancerRequest *plane, const LcView *view)
+lc_balancer_request__find_own_dc (const LcBalancerRequest *plane, const LcView *view)
 {
   const LcDataCentre *dc = lc_view_dc_by_name (view, plane->desc.settings->data_centre);
 
@@ -333,13 +336,13 @@
 }
 
 static void
-lc_balancer_request__make_metrics (LcBalancerRequest *plane)
+lc_balancer_request__register_metrics (LcBalancerRequest *plane)
 {
   LcMetrics *metrics = &plane->desc.app->metrics;
 
   for (size_t i = 0; i < LC_BALANCER_REQUEST_METRICS; i++)
-    plane->metrics[i] = lc_metrics_counter (metrics, LC_BALANCER_REQUEST_NAMES[i][0],
-                                            LC_BALANCER_REQUEST_NAMES[i][1], NULL);
+    plane->metrics[i] = lc_metrics_counter (metrics, LC_BALANCER_REQUEST_METRIC_NAMES[i][0],
+                                            LC_BALANCER_REQUEST_METRIC_NAMES[i][1], NULL);
   plane->latency = lc_metrics_histogram (metrics, "lychee_request_latency_us",
                                          "Time from a whole request to its answer", NULL);
 }
@@ -363,13 +366,13 @@
   if (r < 0)
     return r;
   lc_request_balancer_init (&plane->core, &core);
-  plane->agents =
-      g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, lc_balancer_request__peer_free);
+  plane->agents = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free,
+                                         lc_balancer_request__agent_link_free);
   plane->calls = g_hash_table_new (g_int64_hash, g_int64_equal);
   plane->incoming =
       g_hash_table_new_full (lc_balancer_request__ref_hash, lc_balancer_request__ref_equal, NULL,
                              lc_balancer_request__incoming_free);
-  lc_balancer_request__make_metrics (plane);
+  lc_balancer_request__register_metrics (plane);
   lc_timer_init (&plane->timer, desc->app->loop, lc_balancer_request__on_timer, plane);
   lc_timer_start (&plane->timer, LC_BALANCER_TICK_MS);
   return 0;
@@ -388,23 +391,23 @@
 }
 
 void
-lc_balancer_request_view (
+lc_balancer_request_handle_view (
     LcBalancerRequest *plane, const LcView *view, const LcViewOp *ops, size_t n_ops, bool is_reset)
 {
-  plane->core.desc.own_dc = lc_balancer_request__own_dc (plane, view);
+  plane->core.desc.own_dc = lc_balancer_request__find_own_dc (plane, view);
   lc_request_balancer_set_view (&plane->core, view, lc_clock_now_us ());
-  lc_balancer_request__drop_peers (plane, view);
-  lc_balancer_request__act (plane);
+  lc_balancer_request__close_unused_links (plane, view);
+  lc_balancer_request__run_actions (plane);
 }
 
 void
-lc_balancer_request_frame (LcBalancerRequest *plane, LcLink *link, const LcFrame *frame)
+lc_balancer_request_handle_frame (LcBalancerRequest *plane, LcLink *link, const LcFrame *frame)
 {
-  lc_balancer_request__malformed (plane, link, frame->type);
+  lc_balancer_request__reject_malformed (plane, link, frame->type);
 }
 
 void
-lc_balancer_request_link_down (LcBalancerRequest *plane, LcLink *link)
+lc_balancer_request_handle_link_down (LcBalancerRequest *plane, LcLink *link)
 {
 }
 
--- a/src/balancer/lc-balancer-request.h
+++ b/src/balancer/lc-balancer-request.h
@@ -38,9 +38,9 @@
   LcBalancerRequestDesc desc;
   LcRequestBalancer core;
   LcHttp http;
-  GHashTable *agents;   /* packed (ipv4, port) -> LcBalancerPeer */
+  GHashTable *agents;   /* packed (ipv4, port) -> LcBalancerAgentLink */
   GHashTable *calls;    /* flight id -> LcBalancerCall */
-  GHashTable *incoming; /* LcAttemptRef -> LcIncoming */
+  GHashTable *incoming; /* LcAttemptRef -> LcIncomingAnswer */
   uint64_t incoming_bytes;
   uint64_t next_link_id;
   uint32_t n_calls; /* callers whose answer is not fully written */
@@ -53,7 +53,7 @@
   uint64_t malformed_total;
   LcLogLimit log_limit;
   LcRequestLog log;
-  bool is_acting; /* lc_balancer_request__act is running */
+  bool is_acting; /* lc_balancer_request__run_actions is running */
   bool is_draining;
 } LcBalancerRequest;
 
@@ -62,11 +62,12 @@
                               LcError *error);
 void lc_balancer_request_finish (LcBalancerRequest *plane);
 /* After each batch of operations, or with `is_reset` after the view was replaced. */
-void lc_balancer_request_view (
+void lc_balancer_request_handle_view (
     LcBalancerRequest *plane, const LcView *view, const LcViewOp *ops, size_t n_ops, bool is_reset);
 /* Rejects a frame of the peer server: agents answer on the links that balancers open. */
-void lc_balancer_request_frame (LcBalancerRequest *plane, LcLink *link, const LcFrame *frame);
-void lc_balancer_request_link_down (LcBalancerRequest *plane, LcLink *link);
+void
+lc_balancer_request_handle_frame (LcBalancerRequest *plane, LcLink *link, const LcFrame *frame);
+void lc_balancer_request_handle_link_down (LcBalancerRequest *plane, LcLink *link);
 /* Begins a planned stop: stops accepting connections, finishes the requests in flight. */
 void lc_balancer_request_drain (LcBalancerRequest *plane);
 bool lc_balancer_request_is_idle (const LcBalancerRequest *plane);
--- a/src/balancer/lc-caller.c
+++ b/src/balancer/lc-caller.c
@@ -17,7 +17,7 @@
 }
 
 static LcSlice
-lc_caller__header (const h2o_req_t *req, const char *name)
+lc_caller__find_header (const h2o_req_t *req, const char *name)
 {
   ssize_t at = h2o_find_header_by_str (&req->headers, name, strlen (name), -1);
 
@@ -25,7 +25,7 @@
 }
 
 static uint32_t
-lc_caller__address (h2o_req_t *req)
+lc_caller__read_address (h2o_req_t *req)
 {
   struct sockaddr_storage address;
   socklen_t len = req->conn->callbacks->get_peername (req->conn, (struct sockaddr *)&address);
@@ -36,7 +36,7 @@
 }
 
 static uint64_t
-lc_caller__random (void)
+lc_caller__make_random (void)
 {
   return ((uint64_t)g_random_int () << 32) | g_random_int ();
 }
@@ -49,15 +49,15 @@
   request->path = lc_caller__slice (req->path);
   request->host = lc_caller__slice (req->authority);
   request->body = lc_caller__slice (req->entity);
-  request->key_text = lc_caller__header (req, "idempotency-key");
-  request->timeout_text = lc_caller__header (req, "lychee-timeout-ms");
-  request->caller = lc_caller__address (req);
-  request->random = (LcRequestId){ lc_caller__random (), lc_caller__random () };
+  request->key_text = lc_caller__find_header (req, "idempotency-key");
+  request->timeout_text = lc_caller__find_header (req, "lychee-timeout-ms");
+  request->caller = lc_caller__read_address (req);
+  request->random = (LcRequestId){ lc_caller__make_random (), lc_caller__make_random () };
   request->now_us = now_us;
 }
 
 bool
-lc_caller_is_gone (h2o_req_t *req)
+lc_caller_has_disconnected (h2o_req_t *req)
 {
   h2o_socket_t *socket = req->conn->callbacks->get_socket (req->conn);
   char byte;
@@ -73,7 +73,7 @@
 /* === private: the attempt =================================================================== */
 
 static bool
-lc_caller__is_forwarded (const h2o_iovec_t *name)
+lc_caller__is_forwarded_header (const h2o_iovec_t *name)
 {
   static const char *const DROPPED[] = {
     "connection",        "keep-alive",         "proxy-connection", "te",   "trailer",
@@ -88,7 +88,7 @@
 }
 
 static ProtobufCBinaryData
-lc_caller__data (const char *base, size_t len)
+lc_caller__make_data (const char *base, size_t len)
 {
   return (ProtobufCBinaryData){ .len = len, .data = (uint8_t *)base };
 }
@@ -111,9 +111,9 @@
   head->left_us = (uint64_t)send->send.left_us;
   if (request->is_query)
     return;
-  head->method = lc_caller__data (request->method.base, request->method.len);
-  head->path = lc_caller__data (request->path.base, request->path.len);
-  head->host = lc_caller__data (request->host.base, request->host.len);
+  head->method = lc_caller__make_data (request->method.base, request->method.len);
+  head->path = lc_caller__make_data (request->path.base, request->path.len);
+  head->host = lc_caller__make_data (request->host.base, request->host.len);
   head->body_length = request->body.len;
 }
 
@@ -130,11 +130,11 @@
       const h2o_header_t *from = &req->headers.entries[i];
       Lc__Request__Header *to = &values[head->n_headers];
 
-      if (!lc_caller__is_forwarded (from->name))
+      if (!lc_caller__is_forwarded_header (from->name))
         continue;
       lc__request__header__init (to);
-      to->name = lc_caller__data (from->name->base, from->name->len);
-      to->value = lc_caller__data (from->value.base, from->value.len);
+      to->name = lc_caller__make_data (from->name->base, from->name->len);
+      to->value = lc_caller__make_data (from->value.base, from->value.len);
       list[head->n_headers++] = to;
     }
   r = lc_link_send (link, LC_FRAME_ATTEMPT_HEAD, &head->base);
@@ -164,8 +164,8 @@
       part.id_lo = head.id_lo;
       part.attempt = head.attempt;
       part.offset = offset;
-      part.data =
-          lc_caller__data (request->body.base + offset, MIN (len - offset, LC_REQUEST_PART_BYTES));
+      part.data = lc_caller__make_data (request->body.base + offset,
+                                        MIN (len - offset, LC_REQUEST_PART_BYTES));
       r = lc_link_send (link, LC_FRAME_ATTEMPT_BODY, &part.base);
     }
   return r;
@@ -174,7 +174,7 @@
 /* === private: answers ======================================================================= */
 
 static void
-lc_caller__add (h2o_req_t *req, const char *name, const char *value)
+lc_caller__add_header (h2o_req_t *req, const char *name, const char *value)
 {
   h2o_iovec_t copy = h2o_strdup (&req->pool, value, strlen (value));
 
@@ -192,21 +192,21 @@
   if (lc_request_key_is_none (request->key))
     {
       lc_request_id_text (id, request->id);
-      lc_caller__add (req, "lychee-request-id", id);
+      lc_caller__add_header (req, "lychee-request-id", id);
       return;
     }
   lc_request_id_text (id, (LcRequestId){ request->key.hi, request->key.lo });
-  lc_caller__add (req, "lychee-request-id", id);
+  lc_caller__add_header (req, "lychee-request-id", id);
   (void)g_snprintf (path, sizeof path, "%s%s", LC_FILTER_QUERY_PREFIX, id);
-  lc_caller__add (req, "lychee-ask", path);
+  lc_caller__add_header (req, "lychee-ask", path);
 }
 
 void
-lc_caller_answer (h2o_req_t *req,
-                  const LcFilterRequest *request,
-                  const Lc__Request__AnswerHead *head,
-                  const uint8_t *body,
-                  size_t body_len)
+lc_caller_send_answer (h2o_req_t *req,
+                       const LcFilterRequest *request,
+                       const Lc__Request__AnswerHead *head,
+                       const uint8_t *body,
+                       size_t body_len)
 {
   h2o_iovec_t copy = h2o_strdup (&req->pool, (const char *)body, body_len);
 
@@ -225,7 +225,7 @@
     }
   lc_caller__add_id (req, request);
   if (head->replayed)
-    lc_caller__add (req, "lychee-replayed", "1");
+    lc_caller__add_header (req, "lychee-replayed", "1");
   req->res.content_length = copy.len;
   h2o_send_inline (req, copy.base, copy.len);
 }
@@ -250,44 +250,47 @@
   if (retry_after_us <= 0)
     return;
   (void)g_snprintf (text, sizeof text, "%u", lc_filter_answer_seconds (retry_after_us));
-  lc_caller__add (req, "retry-after", text);
+  lc_caller__add_header (req, "retry-after", text);
   (void)g_snprintf (text, sizeof text, "%" PRId64, retry_after_us / LC_US_PER_MS + 1);
-  lc_caller__add (req, "lychee-retry-after-ms", text);
+  lc_caller__add_header (req, "lychee-retry-after-ms", text);
 }
 
 static void
-lc_caller__say (h2o_req_t *req,
-                const LcFilterRequest *request,
-                LcRefuseReason reason,
-                LcOutcome outcome,
-                int64_t retry_after_us)
+lc_caller__send_error (h2o_req_t *req,
+                       const LcFilterRequest *request,
+                       LcRefuseReason reason,
+                       LcOutcome outcome,
+                       int64_t retry_after_us)
 {
   LcCallerAnswer answer =
       lc_filter_error_answer (reason, outcome, retry_after_us, request->is_query);
 
-  lc_caller__add (req, "lychee-outcome", lc_outcome_name (answer.outcome));
-  lc_caller__add (req, "lychee-reason", lc_refuse_name (reason));
+  lc_caller__add_header (req, "lychee-outcome", lc_outcome_name (answer.outcome));
+  lc_caller__add_header (req, "lychee-reason", lc_refuse_name (reason));
   lc_caller__add_retry_after (req, answer.retry_after_us);
   lc_caller__add_id (req, request);
   lc_caller__send_json (req, answer.status, lc_refuse_name (reason), answer.message, answer.remedy);
 }
 
 void
-lc_caller_refuse (h2o_req_t *req, const LcFilterRequest *request, const LcFilterVerdict *v)
+lc_caller_send_refusal (h2o_req_t *req, const LcFilterRequest *request, const LcFilterVerdict *v)
 {
   /* With a caller's key, an earlier copy may have run even though a limit refused this one. */
   if (v->reason != LC_REFUSE_NONE)
-    lc_caller__say (req, request, v->reason,
-                    request->key_text.len > 0 || request->is_query ? LC_OUTCOME_UNKNOWN
-                                                                   : LC_OUTCOME_NOT_RUN,
-                    0);
+    lc_caller__send_error (req, request, v->reason,
+                           request->key_text.len > 0 || request->is_query ? LC_OUTCOME_UNKNOWN
+                                                                          : LC_OUTCOME_NOT_RUN,
+                           0);
   else
     lc_caller__send_json (req, v->status, v->status == 404 ? "not-found" : "invalid", v->message,
                           v->remedy);
 }
 
 void
-lc_caller_fail (h2o_req_t *req, const LcFilterRequest *request, const LcBalancerAction *fail)
+lc_caller_send_failure (h2o_req_t *req,
+                        const LcFilterRequest *request,
+                        const LcBalancerAction *fail)
 {
-  lc_caller__say (req, request, fail->fail.reason, fail->fail.outcome, fail->fail.retry_after_us);
+  lc_caller__send_error (req, request, fail->fail.reason, fail->fail.outcome,
+                         fail->fail.retry_after_us);
 }
--- a/src/balancer/lc-caller.h
+++ b/src/balancer/lc-caller.h
@@ -27,17 +27,20 @@
                             const LcBalancerAction *send);
 
 /* Whether the caller's connection is closed. */
-bool lc_caller_is_gone (h2o_req_t *req);
+bool lc_caller_has_disconnected (h2o_req_t *req);
 
 /* Sends the caller the answer of the backend server. */
-void lc_caller_answer (h2o_req_t *req,
-                       const LcFilterRequest *request,
-                       const Lc__Request__AnswerHead *head,
-                       const uint8_t *body,
-                       size_t body_len);
+void lc_caller_send_answer (h2o_req_t *req,
+                            const LcFilterRequest *request,
+                            const Lc__Request__AnswerHead *head,
+                            const uint8_t *body,
+                            size_t body_len);
 
 /* Sends the caller a filter's refusal, or an error in place of an answer. */
-void lc_caller_refuse (h2o_req_t *req, const LcFilterRequest *request, const LcFilterVerdict *v);
-void lc_caller_fail (h2o_req_t *req, const LcFilterRequest *request, const LcBalancerAction *fail);
+void
+lc_caller_send_refusal (h2o_req_t *req, const LcFilterRequest *request, const LcFilterVerdict *v);
+void lc_caller_send_failure (h2o_req_t *req,
+                             const LcFilterRequest *request,
+                             const LcBalancerAction *fail);
 
 #endif /* LC_CALLER_H */
--- a/src/balancer/main.c
+++ b/src/balancer/main.c
@@ -30,11 +30,11 @@
   LcBalancerProgram *p = user;
 
   if (frame->type >= LC_FRAME_REQUEST_FIRST && lc_balancer__has_requests (p))
-    lc_balancer_request_frame (&p->request, link, frame);
+    lc_balancer_request_handle_frame (&p->request, link, frame);
   else if (frame->type >= LC_FRAME_FLOW_FIRST)
-    lc_balancer_flow_frame (&p->flow, link, frame);
+    lc_balancer_flow_handle_frame (&p->flow, link, frame);
   else if (frame->type < LC_FRAME_CONTROL_FIRST)
-    lc_member_frame (&p->member, link, frame);
+    lc_member_handle_frame (&p->member, link, frame);
   else
     lc_link_close (link, "frame type is not served here");
 }
@@ -45,10 +45,10 @@
   LcBalancerProgram *p = user;
 
   LC_DEBUG ("peer.down", "why", LC_STR (why));
-  lc_member_link_down (&p->member, link);
-  lc_balancer_flow_link_down (&p->flow, link);
+  lc_member_handle_link_down (&p->member, link);
+  lc_balancer_flow_handle_link_down (&p->flow, link);
   if (lc_balancer__has_requests (p))
-    lc_balancer_request_link_down (&p->request, link);
+    lc_balancer_request_handle_link_down (&p->request, link);
 }
 
 static void
@@ -57,9 +57,9 @@
 {
   LcBalancerProgram *p = user;
 
-  lc_balancer_flow_view (&p->flow, view, ops, n_ops, is_reset);
+  lc_balancer_flow_handle_view (&p->flow, view, ops, n_ops, is_reset);
   if (lc_balancer__has_requests (p))
-    lc_balancer_request_view (&p->request, view, ops, n_ops, is_reset);
+    lc_balancer_request_handle_view (&p->request, view, ops, n_ops, is_reset);
 }
 
 /* === planned stop =========================================================================== */
@@ -90,7 +90,7 @@
   LcBalancerProgram *p = user;
 
   return !p->app.is_draining && lc_member_view (&p->member)->revision > 0 &&
-         lc_member_is_confirmed (&p->member) && !lc_balancer_flow_is_alone (&p->flow);
+         lc_member_is_confirmed (&p->member) && !lc_balancer_flow_is_isolated (&p->flow);
 }
 
 /* The settings list other control VMs. */
@@ -101,7 +101,7 @@
   LcBalancerSettings fresh = *(const LcBalancerSettings *)settings;
 
   lc_settings_set_ports (fresh.control, fresh.n_control, fresh.control_peer_port);
-  lc_member_learn_control (&p->member, fresh.control, fresh.n_control);
+  lc_member_add_control (&p->member, fresh.control, fresh.n_control);
 }
 
 /* === start ================================================================================== */
--- a/src/cli/lc-burn-collect.c
+++ b/src/cli/lc-burn-collector.c
@@ -1,4 +1,4 @@
-#include "lc-burn-collect.h"
+#include "lc-burn-collector.h"
 
 #include "io/lc-clock.h"
 #include "lc-cli-client.h"
@@ -14,7 +14,7 @@
 } LcBurnProcess;
 
 void
-lc_burn_collect_init (LcBurnCollect *collector)
+lc_burn_collector_init (LcBurnCollector *collector)
 {
   memset (collector, 0, sizeof *collector);
   collector->merge = lc_burn_merge_new ();
@@ -25,7 +25,7 @@
 }
 
 void
-lc_burn_collect_finish (LcBurnCollect *collector)
+lc_burn_collector_finish (LcBurnCollector *collector)
 {
   lc_burn_merge_free (collector->merge);
   g_array_free (collector->services, TRUE);
@@ -36,14 +36,14 @@
 /* === private: one answer ==================================================================== */
 
 static const char *
-lc_burn_collect__text (const json_t *object, const char *key)
+lc_burn_collector__text (const json_t *object, const char *key)
 {
   return json_string_value (json_object_get (object, key));
 }
 
 /* An answer names its counters in order, so that another version may have more of them. */
 static bool
-lc_burn_collect__columns (const json_t *answer, size_t columns[LC_N_BURN_COUNTERS])
+lc_burn_collector__find_columns (const json_t *answer, size_t columns[LC_N_BURN_COUNTERS])
 {
   const json_t *names = json_object_get (answer, "counters");
 
@@ -63,7 +63,7 @@
 }
 
 static bool
-lc_burn_collect__sample (LcBurnSample *sample, const json_t *row, const size_t *columns)
+lc_burn_collector__read_sample (LcBurnSample *sample, const json_t *row, const size_t *columns)
 {
   if (!json_is_integer (json_array_get (row, 0)))
     return false;
@@ -80,25 +80,25 @@
 }
 
 static bool
-lc_burn_collect__service (LcBurnCollect *collector,
-                          const json_t *service,
-                          LcBurnKey *key,
-                          const size_t *columns,
-                          int64_t at_us,
-                          int64_t uptime_us)
+lc_burn_collector__add_samples (LcBurnCollector *collector,
+                                const json_t *service,
+                                LcBurnKey *key,
+                                const size_t *columns,
+                                int64_t at_us,
+                                int64_t uptime_us)
 {
   const json_t *samples = json_object_get (service, "samples");
   size_t i;
   json_t *row;
 
-  key->service = lc_burn_collect__text (service, "name");
+  key->service = lc_burn_collector__text (service, "name");
   if (key->service == NULL || !json_is_array (samples))
     return false;
   json_array_foreach (samples, i, row)
   {
     LcBurnSample sample;
 
-    if (!lc_burn_collect__sample (&sample, row, columns))
+    if (!lc_burn_collector__read_sample (&sample, row, columns))
       return false;
     (void)lc_burn_merge_add (collector->merge, key, at_us, uptime_us, &sample);
   }
@@ -106,25 +106,25 @@
 }
 
 bool
-lc_burn_collect_answer (LcBurnCollect *collector, const json_t *answer, int64_t at_us)
+lc_burn_collector_add_answer (LcBurnCollector *collector, const json_t *answer, int64_t at_us)
 {
   const json_t *services = json_object_get (answer, "services");
-  const char *instance = lc_burn_collect__text (answer, "instance");
-  LcBurnKey key = { .process = lc_burn_collect__text (answer, "process"),
-                    .data_centre = lc_burn_collect__text (answer, "data_centre") };
+  const char *instance = lc_burn_collector__text (answer, "instance");
+  LcBurnKey key = { .process = lc_burn_collector__text (answer, "process"),
+                    .data_centre = lc_burn_collector__text (answer, "data_centre") };
   int64_t uptime_us = json_integer_value (json_object_get (answer, "uptime_us"));
   size_t columns[LC_N_BURN_COUNTERS];
   size_t i;
   json_t *service;
 
   if (instance == NULL || key.process == NULL || key.data_centre == NULL ||
-      !lc_burn_collect__columns (answer, columns))
+      !lc_burn_collector__find_columns (answer, columns))
     return false;
   key.instance = g_ascii_strtoull (instance, NULL, 16);
   key.weight_percent = (uint32_t)json_integer_value (json_object_get (answer, "weight_percent"));
   json_array_foreach (services, i, service)
   {
-    if (!lc_burn_collect__service (collector, service, &key, columns, at_us, uptime_us))
+    if (!lc_burn_collector__add_samples (collector, service, &key, columns, at_us, uptime_us))
       return false;
   }
   return true;
@@ -133,12 +133,12 @@
 /* === private: queries ======================================================================= */
 
 static void
-lc_burn_collect__ask (gpointer data, gpointer user)
+lc_burn_collector__query (gpointer data, gpointer user)
 {
   LcBurnProcess *process = data;
   LcCliClient client = { .addresses = { process->address },
                          .n_addresses = 1,
-                         .timeout_ms = LC_BURN_ASK_MS };
+                         .timeout_ms = LC_BURN_QUERY_TIMEOUT_MS };
   LcError error = { 0 };
 
   (void)user;
@@ -148,7 +148,7 @@
 }
 
 static void
-lc_burn_collect__add_processes (GArray *processes, const json_t *list, uint16_t admin_port)
+lc_burn_collector__list_processes (GArray *processes, const json_t *list, uint16_t admin_port)
 {
   size_t i;
   json_t *one;
@@ -156,8 +156,8 @@
   json_array_foreach (list, i, one)
   {
     LcBurnProcess process = { 0 };
-    const char *address = lc_burn_collect__text (one, "address");
-    const char *name = lc_burn_collect__text (one, "name");
+    const char *address = lc_burn_collector__text (one, "address");
+    const char *name = lc_burn_collector__text (one, "name");
 
     if (address == NULL || lc_settings_parse_address (address, &process.address) < 0)
       continue;
@@ -168,9 +168,10 @@
 }
 
 static void
-lc_burn_collect__ask_all (GArray *processes)
+lc_burn_collector__query_list (GArray *processes)
 {
-  GThreadPool *pool = g_thread_pool_new (lc_burn_collect__ask, NULL, LC_BURN_THREADS, FALSE, NULL);
+  GThreadPool *pool =
+      g_thread_pool_new (lc_burn_collector__query, NULL, LC_BURN_THREADS_MAX, FALSE, NULL);
 
   for (guint i = 0; i < processes->len; i++)
     (void)g_thread_pool_push (pool, &g_array_index (processes, LcBurnProcess, i), NULL);
@@ -178,7 +179,7 @@
 }
 
 static void
-lc_burn_collect__take (LcBurnCollect *collector, LcBurnProcess *process)
+lc_burn_collector__add_result (LcBurnCollector *collector, LcBurnProcess *process)
 {
   char text[16];
 
@@ -192,13 +193,13 @@
                        g_strdup_printf ("%s at %s:%u", process->name, text, process->address.port));
       return;
     }
-  if (!lc_burn_collect_answer (collector, process->answer, process->at_us))
+  if (!lc_burn_collector_add_answer (collector, process->answer, process->at_us))
     collector->n_malformed++;
   json_decref (process->answer);
 }
 
 static void
-lc_burn_collect__add_services (LcBurnCollect *collector, const json_t *list)
+lc_burn_collector__add_services (LcBurnCollector *collector, const json_t *list)
 {
   size_t i;
   json_t *one;
@@ -206,7 +207,7 @@
   json_array_foreach (list, i, one)
   {
     LcBurnServiceRow row = { 0 };
-    const char *name = lc_burn_collect__text (one, "name");
+    const char *name = lc_burn_collector__text (one, "name");
 
     if (name == NULL)
       continue;
@@ -225,20 +226,20 @@
 }
 
 void
-lc_burn_collect_site (LcBurnCollect *collector, const json_t *status, uint16_t admin_port)
+lc_burn_collector_query_all (LcBurnCollector *collector, const json_t *status, uint16_t admin_port)
 {
   GArray *processes = g_array_new (FALSE, TRUE, sizeof (LcBurnProcess));
   const json_t *dcs = json_object_get (status, "data_centres");
 
-  lc_burn_collect__add_services (collector, json_object_get (status, "services"));
+  lc_burn_collector__add_services (collector, json_object_get (status, "services"));
   for (size_t i = 0; i < json_array_size (dcs); i++)
     g_ptr_array_add (collector->data_centres,
-                     g_strdup (lc_burn_collect__text (json_array_get (dcs, i), "name")));
-  lc_burn_collect__add_processes (processes, json_object_get (status, "balancers"), admin_port);
-  lc_burn_collect__add_processes (processes, json_object_get (status, "endpoints"), admin_port);
-  lc_burn_collect__ask_all (processes);
+                     g_strdup (lc_burn_collector__text (json_array_get (dcs, i), "name")));
+  lc_burn_collector__list_processes (processes, json_object_get (status, "balancers"), admin_port);
+  lc_burn_collector__list_processes (processes, json_object_get (status, "endpoints"), admin_port);
+  lc_burn_collector__query_list (processes);
   for (guint i = 0; i < processes->len; i++)
-    lc_burn_collect__take (collector, &g_array_index (processes, LcBurnProcess, i));
+    lc_burn_collector__add_result (collector, &g_array_index (processes, LcBurnProcess, i));
   g_array_free (processes, TRUE);
   collector->now_us = lc_clock_wall_us ();
 }
--- a/src/cli/lc-burn-history.c
+++ b/src/cli/lc-burn-history.c
@@ -1,4 +1,4 @@
-#include "lc-burn-collect.h"
+#include "lc-burn-collector.h"
 
 #include <inttypes.h>
 #include <string.h>
@@ -7,12 +7,12 @@
  * {"instance":"...","process":"...","service":"...","data_centre":"...","weight_percent":0,
  *  "started_at_us":0,"sample":[uptime_us, counts ...]} */
 
-#define LC_BURN_KEEP_US (INT64_C (3) * 24 * 3600 * LC_US_PER_S)
+#define LC_BURN_HISTORY_MAX_AGE_US (INT64_C (3) * 24 * 3600 * LC_US_PER_S)
 
 /* === loading ================================================================================ */
 
 static bool
-lc_burn_history__take (LcBurnCollect *collector, const json_t *line)
+lc_burn_history__add_line (LcBurnCollector *collector, const json_t *line)
 {
   LcBurnKey key = { .process = json_string_value (json_object_get (line, "process")),
                     .service = json_string_value (json_object_get (line, "service")),
@@ -35,7 +35,7 @@
 }
 
 int
-lc_burn_history_load (LcBurnCollect *collector, const char *path, LcError *error)
+lc_burn_history_load (LcBurnCollector *collector, const char *path, LcError *error)
 {
   gchar *text = NULL;
   gchar **lines;
@@ -51,7 +51,7 @@
     {
       json_t *line = lines[i][0] != '\0' ? json_loads (lines[i], 0, NULL) : NULL;
 
-      if (lines[i][0] != '\0' && !lc_burn_history__take (collector, line))
+      if (lines[i][0] != '\0' && !lc_burn_history__add_line (collector, line))
         r = lc_error_set (error, LC_ERR_CORRUPT, "move the file away; a new one is begun",
                           "%s: line %u is no sample", path, i + 1);
       json_decref (line);
@@ -67,7 +67,7 @@
 {
   GString *text;
   int64_t oldest_us;
-} LcBurnSave;
+} LcBurnHistoryWriter;
 
 static void
 lc_burn_history__append (void *user,
@@ -75,7 +75,7 @@
                          int64_t started_at_us,
                          const LcBurnSample *sample)
 {
-  LcBurnSave *save = user;
+  LcBurnHistoryWriter *save = user;
   json_t *row = json_array ();
   json_t *line;
   char *text;
@@ -100,10 +100,10 @@
 }
 
 int
-lc_burn_history_save (const LcBurnCollect *collector, const char *path, LcError *error)
+lc_burn_history_save (const LcBurnCollector *collector, const char *path, LcError *error)
 {
-  LcBurnSave save = { .text = g_string_new (NULL),
-                      .oldest_us = collector->now_us - LC_BURN_KEEP_US };
+  LcBurnHistoryWriter save = { .text = g_string_new (NULL),
+                               .oldest_us = collector->now_us - LC_BURN_HISTORY_MAX_AGE_US };
   GError *gerror = NULL;
   int r = 0;
 
--- a/src/cli/lc-burn-html.c
+++ b/src/cli/lc-burn-html.c
@@ -22,7 +22,7 @@
     "svg text{font:11px system-ui,sans-serif;fill:var(--soft)}";
 
 static void
-lc_burn__append_text (GString *out, const char *text)
+lc_burn__append_escaped (GString *out, const char *text)
 {
   gchar *escaped = g_markup_escape_text (text, -1);
 
@@ -34,7 +34,7 @@
 
 enum
 {
-  LC_BURN_STEPS = 60,
+  LC_BURN_PLOT_STEPS = 60,
   LC_BURN_PLOT_WIDTH = 720,
   LC_BURN_PLOT_HEIGHT = 150,
   LC_BURN_PLOT_LEFT = 46,
@@ -47,19 +47,19 @@
 {
   const char *title;
   const char *names[2];
-  double values[2][LC_BURN_STEPS];
+  double values[2][LC_BURN_PLOT_STEPS];
   double limit; /* a dashed line; 0: none */
   int64_t length_us;
 } LcBurnPlot;
 
 static double
-lc_burn__top_of (const LcBurnPlot *plot)
+lc_burn__axis_max (const LcBurnPlot *plot)
 {
   double top = plot->limit;
   double round = 1;
 
   for (int line = 0; line < 2; line++)
-    for (int i = 0; i < LC_BURN_STEPS; i++)
+    for (int i = 0; i < LC_BURN_PLOT_STEPS; i++)
       top = MAX (top, plot->values[line][i]);
   while (round < top)
     round *= 2;
@@ -72,7 +72,7 @@
 lc_burn__x (int step)
 {
   return LC_BURN_PLOT_LEFT +
-         (double)(LC_BURN_PLOT_WIDTH - LC_BURN_PLOT_LEFT - 8) * step / (LC_BURN_STEPS - 1);
+         (double)(LC_BURN_PLOT_WIDTH - LC_BURN_PLOT_LEFT - 8) * step / (LC_BURN_PLOT_STEPS - 1);
 }
 
 static double
@@ -111,12 +111,12 @@
 }
 
 static void
-lc_burn__append_line (GString *out, const LcBurnPlot *plot, int line, double top)
+lc_burn__append_curve (GString *out, const LcBurnPlot *plot, int line, double top)
 {
   g_string_append_printf (out,
                           "<polyline fill='none' stroke='var(--%c)' stroke-width='1.8' points='",
                           line == 0 ? 'a' : 'b');
-  for (int i = 0; i < LC_BURN_STEPS; i++)
+  for (int i = 0; i < LC_BURN_PLOT_STEPS; i++)
     g_string_append_printf (out, "%.1f,%.1f ", lc_burn__x (i),
                             lc_burn__y (plot->values[line][i], top));
   g_string_append (out, "'/>");
@@ -125,10 +125,10 @@
 static void
 lc_burn__append_plot (GString *out, const LcBurnPlot *plot)
 {
-  double top = lc_burn__top_of (plot);
+  double top = lc_burn__axis_max (plot);
 
   g_string_append (out, "<h3>");
-  lc_burn__append_text (out, plot->title);
+  lc_burn__append_escaped (out, plot->title);
   for (int line = 0; line < 2 && plot->names[line] != NULL; line++)
     g_string_append_printf (out, " <span style='color:var(--%c)'>&#9644; %s</span>",
                             line == 0 ? 'a' : 'b', plot->names[line]);
@@ -136,7 +136,7 @@
                           LC_BURN_PLOT_HEIGHT);
   lc_burn__append_axes (out, plot, top);
   for (int line = 0; line < 2 && plot->names[line] != NULL; line++)
-    lc_burn__append_line (out, plot, line, top);
+    lc_burn__append_curve (out, plot, line, top);
   g_string_append (out, "</svg>");
 }
 
@@ -150,7 +150,7 @@
 } LcBurnPlotKind;
 
 static double
-lc_burn__share (double bad, double all, const LcBurnObjective *objective)
+lc_burn__rate (double bad, double all, const LcBurnObjective *objective)
 {
   uint32_t good = objective->good_ppm != 0 ? objective->good_ppm : LC_BURN_DEFAULT_GOOD_PPM;
   double allowed = (double)(LC_BURN_PPM - MIN (good, (uint32_t)LC_BURN_PPM - 1)) / LC_BURN_PPM;
@@ -162,11 +162,11 @@
 lc_burn__fill_step (LcBurnPlot *plot,
                     LcBurnPlotKind kind,
                     int step,
-                    const LcBurnCollect *collector,
+                    const LcBurnCollector *collector,
                     const LcBurnServiceRow *row)
 {
-  int64_t step_us = plot->length_us / LC_BURN_STEPS;
-  int64_t at_us = collector->now_us - (LC_BURN_STEPS - 1 - step) * step_us;
+  int64_t step_us = plot->length_us / LC_BURN_PLOT_STEPS;
+  int64_t at_us = collector->now_us - (LC_BURN_PLOT_STEPS - 1 - step) * step_us;
   LcBurnWindow w = lc_burn_merge_window (collector->merge, row->name, NULL, at_us, step_us);
   const double *n = w.growth;
   double bad = n[LC_BURN_LATE] + n[LC_BURN_REFUSED] + n[LC_BURN_UNKNOWN] + n[LC_BURN_FAILED];
@@ -179,8 +179,8 @@
       plot->values[1][step] = bad * LC_US_PER_S / (double)step_us;
       break;
     case LC_BURN_PLOT_RATE:
-      plot->values[0][step] = lc_burn__share (bad, bad + n[LC_BURN_GOOD], &row->objective);
-      plot->values[1][step] = lc_burn__share (
+      plot->values[0][step] = lc_burn__rate (bad, bad + n[LC_BURN_GOOD], &row->objective);
+      plot->values[1][step] = lc_burn__rate (
           bad_flows, w.open_at_start + n[LC_BURN_FLOW_OPENED] + n[LC_BURN_FLOW_REFUSED],
           &row->objective);
       break;
@@ -193,7 +193,7 @@
 
 /* An hour, halved while its older half is empty: a demo of a minute would look like a flat line. */
 static int64_t
-lc_burn__plot_length (const LcBurnCollect *collector, const LcBurnServiceRow *row)
+lc_burn__plot_length (const LcBurnCollector *collector, const LcBurnServiceRow *row)
 {
   int64_t length_us = 3600 * LC_US_PER_S;
 
@@ -213,7 +213,7 @@
 }
 
 static void
-lc_burn__append_plots (GString *out, const LcBurnCollect *collector, const LcBurnServiceRow *row)
+lc_burn__append_plots (GString *out, const LcBurnCollector *collector, const LcBurnServiceRow *row)
 {
   LcBurnPlot plots[] = {
     { .title = "Requests a second", .names = { "good", "bad" } },
@@ -225,7 +225,7 @@
   for (size_t kind = 0; kind < G_N_ELEMENTS (plots); kind++)
     {
       plots[kind].length_us = length_us;
-      for (int step = 0; step < LC_BURN_STEPS; step++)
+      for (int step = 0; step < LC_BURN_PLOT_STEPS; step++)
         lc_burn__fill_step (&plots[kind], (LcBurnPlotKind)kind, step, collector, row);
       lc_burn__append_plot (out, &plots[kind]);
     }
@@ -240,7 +240,7 @@
   LcBurnUrgency urgency = is_flows ? report->flow_urgency : report->request_urgency;
 
   g_string_append (out, "<tr><td>");
-  lc_burn__append_text (out, name);
+  lc_burn__append_escaped (out, name);
   g_string_append_printf (out, "</td><td>%s</td>", is_flows ? "flows" : "requests");
   for (size_t i = 0; i < G_N_ELEMENTS (SPANS); i++)
     g_string_append_printf (out, "<td>%.2f</td>",
@@ -272,13 +272,15 @@
 }
 
 static void
-lc_burn__append_service (GString *out, const LcBurnCollect *collector, const LcBurnServiceRow *row)
+lc_burn__append_service (GString *out,
+                         const LcBurnCollector *collector,
+                         const LcBurnServiceRow *row)
 {
   LcBurnReport report;
   uint32_t good = row->objective.good_ppm != 0 ? row->objective.good_ppm : LC_BURN_DEFAULT_GOOD_PPM;
 
   g_string_append (out, "<h2>");
-  lc_burn__append_text (out, row->name);
+  lc_burn__append_escaped (out, row->name);
   g_string_append_printf (out, " <span class='soft'>objective %.4g%% good</span></h2>", good / 1e4);
   g_string_append (out, "<table><tr><th>where</th><th></th><th>5m</th><th>1h</th><th>30m</th>"
                         "<th>6h</th><th>3d</th><th>budget left</th><th>state</th></tr>");
@@ -300,7 +302,7 @@
 }
 
 char *
-lc_burn_to_html (const LcBurnCollect *collector, const char *service)
+lc_burn_to_html (const LcBurnCollector *collector, const char *service)
 {
   GString *out = g_string_new ("<!doctype html><html lang='en'><meta charset='utf-8'>"
                                "<meta name='viewport' content='width=device-width'>"
@@ -319,7 +321,7 @@
   for (guint i = 0; i < collector->unanswered->len; i++)
     {
       g_string_append (out, "<p class='page'>Not heard: ");
-      lc_burn__append_text (out, g_ptr_array_index (collector->unanswered, i));
+      lc_burn__append_escaped (out, g_ptr_array_index (collector->unanswered, i));
       g_string_append (out, "</p>");
     }
   for (guint s = 0; s < collector->services->len; s++)
--- a/src/cli/lc-burn-text.c
+++ b/src/cli/lc-burn-text.c
@@ -5,15 +5,15 @@
 
 enum
 {
-  LC_BURN_SHOWN = 5, /* 5m 1h 30m 6h 3d; the second 6h repeats the first */
+  LC_BURN_N_SHOWN = 5, /* 5m 1h 30m 6h 3d; the second 6h repeats the first */
 };
 
-static const int LC_BURN_SHOWN_SPANS[LC_BURN_SHOWN] = { 0, 1, 2, 3, 5 };
+static const int LC_BURN_SHOWN_SPANS[LC_BURN_N_SHOWN] = { 0, 1, 2, 3, 5 };
 
 /* === text =================================================================================== */
 
 static void
-lc_burn__print_line (const LcBurnReport *report, const char *data_centre, bool is_flows, FILE *out)
+lc_burn__print_row (const LcBurnReport *report, const char *data_centre, bool is_flows, FILE *out)
 {
   const LcBurnSpan *longest = &report->spans[2 * LC_BURN_PAIRS - 1];
   double all = is_flows ? longest->flows : longest->requests;
@@ -26,7 +26,7 @@
       (void)fputs ("  none\n", out);
       return;
     }
-  for (int i = 0; i < LC_BURN_SHOWN; i++)
+  for (int i = 0; i < LC_BURN_N_SHOWN; i++)
     {
       const LcBurnSpan *span = &report->spans[LC_BURN_SHOWN_SPANS[i]];
 
@@ -58,7 +58,7 @@
 }
 
 static void
-lc_burn__print_service (const LcBurnCollect *collector, const LcBurnServiceRow *row, FILE *out)
+lc_burn__print_service (const LcBurnCollector *collector, const LcBurnServiceRow *row, FILE *out)
 {
   uint32_t good_ppm =
       row->objective.good_ppm != 0 ? row->objective.good_ppm : (uint32_t)LC_BURN_DEFAULT_GOOD_PPM;
@@ -70,28 +70,28 @@
   (void)fprintf (out, "\n  %-16s %-9s%8s%8s%8s%8s%8s%12s  %s\n", "burn rate over", "", "5m", "1h",
                  "30m", "6h", "3d", "budget left", "state");
   lc_burn_report_compute (&report, collector->merge, &row->objective, NULL, collector->now_us);
-  lc_burn__print_line (&report, "all", false, out);
-  lc_burn__print_line (&report, "all", true, out);
+  lc_burn__print_row (&report, "all", false, out);
+  lc_burn__print_row (&report, "all", true, out);
   for (guint i = 0; i < collector->data_centres->len; i++)
     {
       const char *name = g_ptr_array_index (collector->data_centres, i);
       LcBurnReport part;
 
       lc_burn_report_compute (&part, collector->merge, &row->objective, name, collector->now_us);
-      lc_burn__print_line (&part, name, false, out);
-      lc_burn__print_line (&part, name, true, out);
+      lc_burn__print_row (&part, name, false, out);
+      lc_burn__print_row (&part, name, true, out);
     }
   lc_burn__print_counts (&report, out);
 }
 
 static bool
-lc_burn__is_wanted (const LcBurnServiceRow *row, const char *service)
+lc_burn__is_selected (const LcBurnServiceRow *row, const char *service)
 {
   return service == NULL || strcmp (row->name, service) == 0;
 }
 
 void
-lc_burn_print_text (const LcBurnCollect *collector, const char *service, FILE *out)
+lc_burn_print_text (const LcBurnCollector *collector, const char *service, FILE *out)
 {
   (void)fprintf (out, "service-level burn: %u of %u processes answered\n",
                  collector->n_queried - collector->unanswered->len, collector->n_queried);
@@ -105,20 +105,20 @@
     {
       const LcBurnServiceRow *row = &g_array_index (collector->services, LcBurnServiceRow, s);
 
-      if (lc_burn__is_wanted (row, service))
+      if (lc_burn__is_selected (row, service))
         lc_burn__print_service (collector, row, out);
     }
 }
 
 bool
-lc_burn_any_at (const LcBurnCollect *collector, const char *service, LcBurnUrgency urgency)
+lc_burn_has_urgency (const LcBurnCollector *collector, const char *service, LcBurnUrgency urgency)
 {
   for (guint s = 0; s < collector->services->len; s++)
     {
       const LcBurnServiceRow *row = &g_array_index (collector->services, LcBurnServiceRow, s);
       LcBurnReport report;
 
-      if (!lc_burn__is_wanted (row, service))
+      if (!lc_burn__is_selected (row, service))
         continue;
       lc_burn_report_compute (&report, collector->merge, &row->objective, NULL, collector->now_us);
       if (report.request_urgency >= urgency || report.flow_urgency >= urgency)
@@ -143,7 +143,7 @@
 }
 
 static json_t *
-lc_burn__report_json (const LcBurnCollect *collector,
+lc_burn__report_json (const LcBurnCollector *collector,
                       const LcBurnServiceRow *row,
                       const char *data_centre)
 {
@@ -152,7 +152,7 @@
 
   lc_burn_report_compute (&report, collector->merge, &row->objective, data_centre,
                           collector->now_us);
-  for (int i = 0; i < LC_BURN_SHOWN; i++)
+  for (int i = 0; i < LC_BURN_N_SHOWN; i++)
     (void)json_array_append_new (spans, lc_burn__span_json (&report.spans[LC_BURN_SHOWN_SPANS[i]]));
   return json_pack ("{s:s,s:s?,s:s,s:s,s:f,s:f,s:f,s:f,s:o}", "service", row->name, "data_centre",
                     data_centre, "requests", lc_burn_urgency_name (report.request_urgency), "flows",
@@ -163,7 +163,7 @@
 }
 
 json_t *
-lc_burn_to_json (const LcBurnCollect *collector, const char *service)
+lc_burn_to_json (const LcBurnCollector *collector, const char *service)
 {
   json_t *reports = json_array ();
   json_t *unanswered = json_array ();
@@ -172,7 +172,7 @@
     {
       const LcBurnServiceRow *row = &g_array_index (collector->services, LcBurnServiceRow, s);
 
-      if (!lc_burn__is_wanted (row, service))
+      if (!lc_burn__is_selected (row, service))
         continue;
       (void)json_array_append_new (reports, lc_burn__report_json (collector, row, NULL));
       for (guint i = 0; i < collector->data_centres->len; i++)
--- a/src/cli/lc-cli-attention.c
+++ b/src/cli/lc-cli-attention.c
@@ -24,7 +24,7 @@
 }
 
 static bool
-lc_cli_attention__is (const json_t *object, const char *key)
+lc_cli_attention__is_true (const json_t *object, const char *key)
 {
   return json_is_true (json_object_get (object, key));
 }
@@ -41,7 +41,7 @@
 /* === rules ================================================================================== */
 
 static void
-lc_cli_attention__control (GPtrArray *lines, const json_t *status)
+lc_cli_attention__check_control (GPtrArray *lines, const json_t *status)
 {
   size_t i;
   json_t *m;
@@ -49,12 +49,12 @@
   if (lc_cli_attention__text (status, "leader")[0] == '\0')
     lc_cli_attention__add (lines, "no control VM leads: nothing can change until a majority of "
                                   "them runs (docs/operating/lost-quorum.md)");
-  else if (!lc_cli_attention__is (status, "is_leader") &&
-           !lc_cli_attention__is (status, "is_newest"))
+  else if (!lc_cli_attention__is_true (status, "is_leader") &&
+           !lc_cli_attention__is_true (status, "is_newest"))
     lc_cli_attention__add (lines, "%s answered, which does not lead: ask %s for the newest state",
                            lc_cli_attention__text (status, "name"),
                            lc_cli_attention__text (status, "leader"));
-  if (lc_cli_attention__is (status, "disk_full"))
+  if (lc_cli_attention__is_true (status, "disk_full"))
     lc_cli_attention__add (lines,
                            "the disk of %s is full: free space "
                            "(docs/operating/control-disk-full.md)",
@@ -73,13 +73,13 @@
 }
 
 static void
-lc_cli_attention__dcs (GPtrArray *lines, const json_t *status)
+lc_cli_attention__check_dcs (GPtrArray *lines, const json_t *status)
 {
   const json_t *guard = json_object_get (status, "guard");
   size_t i;
   json_t *dc;
 
-  if (lc_cli_attention__is (guard, "is_holding"))
+  if (lc_cli_attention__is_true (guard, "is_holding"))
     lc_cli_attention__add (lines,
                            "the guard keeps %s in the view, because too much vanished at once: "
                            "look whether they run, then drain what is really gone",
@@ -106,7 +106,7 @@
 }
 
 static void
-lc_cli_attention__services (GPtrArray *lines, const json_t *status)
+lc_cli_attention__check_services (GPtrArray *lines, const json_t *status)
 {
   size_t i;
   json_t *one;
@@ -136,12 +136,12 @@
 }
 
 GPtrArray *
-lc_cli_attention (const json_t *status)
+lc_cli_attention_list (const json_t *status)
 {
   GPtrArray *lines = g_ptr_array_new_with_free_func (g_free);
 
-  lc_cli_attention__control (lines, status);
-  lc_cli_attention__dcs (lines, status);
-  lc_cli_attention__services (lines, status);
+  lc_cli_attention__check_control (lines, status);
+  lc_cli_attention__check_dcs (lines, status);
+  lc_cli_attention__check_services (lines, status);
   return lines;
 }
--- a/src/cli/lc-cli-attention.h
+++ b/src/cli/lc-cli-attention.h
@@ -1,7 +1,7 @@
 /* lc-cli-attention: problems in control's status that an operator must act on, with remedies.
  *
  * HOW TO USE IT
- *     GPtrArray *lines = lc_cli_attention (status);      char *, most urgent first
+ *     GPtrArray *lines = lc_cli_attention_list (status);      char *, most urgent first
  *     g_ptr_array_free (lines, TRUE);
  *
  * RULES
@@ -14,6 +14,6 @@
 #include <glib.h>
 #include <jansson.h>
 
-GPtrArray *lc_cli_attention (const json_t *status);
+GPtrArray *lc_cli_attention_list (const json_t *status);
 
 #endif /* LC_CLI_ATTENTION_H */
--- a/src/cli/lc-cli-burn.c
+++ b/src/cli/lc-cli-burn.c
@@ -20,7 +20,7 @@
 /* === private: reading and writing =========================================================== */
 
 static int
-lc_cli_burn__write_html (const LcBurnCollect *collector,
+lc_cli_burn__write_html (const LcBurnCollector *collector,
                          const char *service,
                          const char *path,
                          LcError *error)
@@ -39,7 +39,7 @@
 }
 
 static int
-lc_cli_burn__check (const LcBurnCollect *collector, const char *service, LcError *error)
+lc_cli_burn__check_service (const LcBurnCollector *collector, const char *service, LcError *error)
 {
   for (guint s = 0; service != NULL && s < collector->services->len; s++)
     if (strcmp (g_array_index (collector->services, LcBurnServiceRow, s).name, service) == 0)
@@ -51,7 +51,7 @@
 }
 
 static int
-lc_cli_burn__collect (LcBurnCollect *collector,
+lc_cli_burn__collect (LcBurnCollector *collector,
                       LcCliCommon *common,
                       const LcCliBurnArgs *args,
                       LcError *error)
@@ -68,7 +68,7 @@
   if (r == 0)
     r = lc_cli_client_call (&common->client, "GET", "/v1/status", NULL, &status, error);
   if (r == 0)
-    lc_burn_collect_site (collector, status, (uint16_t)port);
+    lc_burn_collector_query_all (collector, status, (uint16_t)port);
   json_decref (status);
   if (r == 0 && args->history->count > 0)
     r = lc_burn_history_save (collector, args->history->filename[0], error);
@@ -76,7 +76,9 @@
 }
 
 static void
-lc_cli_burn__print (const LcCliCommon *common, const LcBurnCollect *collector, const char *service)
+lc_cli_burn__print (const LcCliCommon *common,
+                    const LcBurnCollector *collector,
+                    const char *service)
 {
   json_t *json;
 
@@ -95,22 +97,22 @@
 {
   const char *service = args->service->count > 0 ? args->service->sval[0] : NULL;
   bool is_paging = false;
-  LcBurnCollect collector;
+  LcBurnCollector collector;
   LcError error = { 0 };
   int r;
 
-  lc_burn_collect_init (&collector);
+  lc_burn_collector_init (&collector);
   r = lc_cli_burn__collect (&collector, common, args, &error);
   if (r == 0)
-    r = lc_cli_burn__check (&collector, service, &error);
+    r = lc_cli_burn__check_service (&collector, service, &error);
   if (r == 0 && args->html->count > 0)
     r = lc_cli_burn__write_html (&collector, service, args->html->filename[0], &error);
   if (r == 0)
     {
       lc_cli_burn__print (common, &collector, service);
-      is_paging = lc_burn_any_at (&collector, service, LC_BURN_PAGE);
+      is_paging = lc_burn_has_urgency (&collector, service, LC_BURN_PAGE);
     }
-  lc_burn_collect_finish (&collector);
+  lc_burn_collector_finish (&collector);
   if (r < 0)
     return lc_cli_fail (common, &error);
   return is_paging && args->fail_on_page->count > 0 ? LC_CLI_FAILED : LC_CLI_DONE;
@@ -138,7 +140,7 @@
 
     r = lc_cli_parse (&common, table, G_N_ELEMENTS (table), argc, argv, "burn",
                       "Reports how fast services spend their error budgets.");
-    if (r == LC_CLI_RUN)
+    if (r == LC_CLI_CONTINUE)
       r = lc_cli_burn__run (&common, &args);
     return lc_cli_finish (table, G_N_ELEMENTS (table), r);
   }
--- a/src/cli/lc-cli-client.c
+++ b/src/cli/lc-cli-client.c
@@ -13,29 +13,29 @@
 
 enum
 {
-  LC_CLI_CONNECT_MS = 500,
-  LC_CLI_TRY_MS = 6000, /* for one VM; longer than control waits for a commit */
-  LC_CLI_PAUSE_MS = 100,
-  LC_CLI_ANSWER_MAX = 64 << 20,
+  LC_CLI_CONNECT_TIMEOUT_MS = 500,
+  LC_CLI_ATTEMPT_TIMEOUT_MS = 6000, /* for one VM; longer than control waits for a commit */
+  LC_CLI_RETRY_PAUSE_MS = 100,
+  LC_CLI_ANSWER_BYTES_MAX = 64 << 20,
   LC_CLI_READ_BYTES = 64 << 10,
 };
 
 /* === private: one exchange ================================================================== */
 
 static int
-lc_cli__left_ms (int64_t deadline_us)
+lc_cli__remaining_ms (int64_t deadline_us)
 {
   return (int)MAX ((deadline_us - lc_clock_now_us ()) / LC_US_PER_MS, 0);
 }
 
 static bool
-lc_cli__wait (int fd, short events, int64_t deadline_us)
+lc_cli__poll (int fd, short events, int64_t deadline_us)
 {
   struct pollfd entry = { .fd = fd, .events = events };
   int r;
 
   do
-    r = poll (&entry, 1, lc_cli__left_ms (deadline_us));
+    r = poll (&entry, 1, lc_cli__remaining_ms (deadline_us));
   while (r < 0 && errno == EINTR);
   return r > 0;
 }
@@ -46,7 +46,8 @@
   struct sockaddr_in to = { .sin_family = AF_INET,
                             .sin_port = htons (address->port),
                             .sin_addr.s_addr = htonl (address->ipv4) };
-  int64_t until_us = MIN (deadline_us, lc_clock_now_us () + LC_CLI_CONNECT_MS * LC_US_PER_MS);
+  int64_t until_us =
+      MIN (deadline_us, lc_clock_now_us () + LC_CLI_CONNECT_TIMEOUT_MS * LC_US_PER_MS);
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   int failed = 0;
   socklen_t len = sizeof failed;
@@ -55,7 +56,7 @@
     return -1;
   if (connect (fd, (struct sockaddr *)&to, sizeof to) == 0)
     return fd;
-  if (errno == EINPROGRESS && lc_cli__wait (fd, POLLOUT, until_us) &&
+  if (errno == EINPROGRESS && lc_cli__poll (fd, POLLOUT, until_us) &&
       getsockopt (fd, SOL_SOCKET, SO_ERROR, &failed, &len) == 0 && failed == 0)
     return fd;
   close (fd);
@@ -75,7 +76,7 @@
         at += (size_t)n;
       else if (errno != EAGAIN && errno != EINTR)
         return false;
-      else if (!lc_cli__wait (fd, POLLOUT, deadline_us))
+      else if (!lc_cli__poll (fd, POLLOUT, deadline_us))
         return false;
     }
   return true;
@@ -88,7 +89,7 @@
   char *part = g_malloc (LC_CLI_READ_BYTES);
   bool is_whole = false;
 
-  while (!is_whole && answer->len < LC_CLI_ANSWER_MAX)
+  while (!is_whole && answer->len < LC_CLI_ANSWER_BYTES_MAX)
     {
       ssize_t n = recv (fd, part, LC_CLI_READ_BYTES, 0);
 
@@ -98,7 +99,7 @@
         is_whole = true;
       else if (errno != EAGAIN && errno != EINTR)
         break;
-      else if (!lc_cli__wait (fd, POLLIN, deadline_us))
+      else if (!lc_cli__poll (fd, POLLIN, deadline_us))
         break;
     }
   g_free (part);
@@ -107,7 +108,7 @@
 
 /* Returns the HTTP status and the body, or -1 if the response is malformed or truncated. */
 static int
-lc_cli__parse (const GString *answer, const char **body, size_t *body_len)
+lc_cli__parse_response (const GString *answer, const char **body, size_t *body_len)
 {
   const char *end = strstr (answer->str, "\r\n\r\n");
   gchar *head;
@@ -136,7 +137,8 @@
                   int64_t deadline_us,
                   json_t **json)
 {
-  int64_t until_us = MIN (deadline_us, lc_clock_now_us () + LC_CLI_TRY_MS * LC_US_PER_MS);
+  int64_t until_us =
+      MIN (deadline_us, lc_clock_now_us () + LC_CLI_ATTEMPT_TIMEOUT_MS * LC_US_PER_MS);
   int fd = lc_cli__connect (address, until_us);
   GString *answer = g_string_new (NULL);
   const char *body = NULL;
@@ -144,7 +146,7 @@
   int status = -1;
 
   if (fd >= 0 && lc_cli__send (fd, request, until_us) && lc_cli__receive (fd, answer, until_us))
-    status = lc_cli__parse (answer, &body, &body_len);
+    status = lc_cli__parse_response (answer, &body, &body_len);
   if (status > 0)
     *json = json_loadb (body, body_len, 0, NULL);
   if (fd >= 0)
@@ -156,7 +158,7 @@
 /* === private: error responses =============================================================== */
 
 static LcErrorCode
-lc_cli__code (const char *name)
+lc_cli__parse_code (const char *name)
 {
   for (int code = LC_ERR_INVALID; code >= LC_ERR_REFUSED; code--)
     if (g_strcmp0 (lc_error_code_name ((LcErrorCode)code), name) == 0)
@@ -165,20 +167,20 @@
 }
 
 static int
-lc_cli__take_error (const json_t *json, LcError *error)
+lc_cli__read_error (const json_t *json, LcError *error)
 {
   const json_t *inner = json_object_get (json, "error");
   const char *message = json_string_value (json_object_get (inner, "message"));
   const char *remedy = json_string_value (json_object_get (inner, "remedy"));
 
-  return lc_error_set (error, lc_cli__code (json_string_value (json_object_get (inner, "code"))),
-                       remedy != NULL ? remedy : "", "%s",
-                       message != NULL ? message : "control refused it");
+  return lc_error_set (
+      error, lc_cli__parse_code (json_string_value (json_object_get (inner, "code"))),
+      remedy != NULL ? remedy : "", "%s", message != NULL ? message : "control refused it");
 }
 
 /* Whether to try another control VM, or this one later. */
 static bool
-lc_cli__may_pass (int status)
+lc_cli__is_retryable (int status)
 {
   return status < 0 || status == 421 || status == 503 || status == 504;
 }
@@ -199,7 +201,7 @@
 }
 
 static GString *
-lc_cli__request (const char *method, const char *path, const json_t *body)
+lc_cli__format_request (const char *method, const char *path, const json_t *body)
 {
   char *text = body != NULL ? json_dumps (body, JSON_COMPACT) : NULL;
   GString *request = g_string_new (NULL);
@@ -221,7 +223,7 @@
                     LcError *error)
 {
   int64_t deadline_us = lc_clock_now_us () + (int64_t)client->timeout_ms * LC_US_PER_MS;
-  GString *request = lc_cli__request (method, path, body);
+  GString *request = lc_cli__format_request (method, path, body);
   int status = -1;
   uint32_t n_tried = 0;
 
@@ -229,25 +231,25 @@
   (void)lc_error_set (error, LC_ERR_UNAVAILABLE,
                       "check --control and that a majority of the control VMs runs",
                       "none of %u control VMs answered", client->n_addresses);
-  while (lc_cli__left_ms (deadline_us) > 0)
+  while (lc_cli__remaining_ms (deadline_us) > 0)
     {
       status = lc_cli__exchange (&client->addresses[client->next], request, deadline_us, answer);
-      if (!lc_cli__may_pass (status))
+      if (!lc_cli__is_retryable (status))
         break;
       if (status > 0)
-        (void)lc_cli__take_error (*answer, error);
+        (void)lc_cli__read_error (*answer, error);
       json_decref (*answer);
       *answer = NULL;
       client->next = (client->next + 1) % client->n_addresses;
       if (++n_tried % client->n_addresses == 0)
-        g_usleep (LC_CLI_PAUSE_MS * LC_US_PER_MS);
+        g_usleep (LC_CLI_RETRY_PAUSE_MS * LC_US_PER_MS);
     }
   g_string_free (request, TRUE);
   if (*answer == NULL)
     return error->code;
   if (status == 200)
     return 0;
-  (void)lc_cli__take_error (*answer, error);
+  (void)lc_cli__read_error (*answer, error);
   json_decref (*answer);
   *answer = NULL;
   return error->code;
--- a/src/cli/lc-cli-confirm.c
+++ b/src/cli/lc-cli-confirm.c
@@ -6,8 +6,8 @@
 
 enum
 {
-  LC_CLI_WAIT_S = 60,
-  LC_CLI_POLL_MS = 100,
+  LC_CLI_WAIT_DEFAULT_S = 60,
+  LC_CLI_POLL_INTERVAL_MS = 100,
 };
 
 typedef struct
@@ -21,7 +21,7 @@
 
 /* Counts the data centres with processes where `revision` is not yet in force. */
 static size_t
-lc_cli_confirm__n_behind (const json_t *status, json_int_t revision)
+lc_cli_confirm__count_behind (const json_t *status, json_int_t revision)
 {
   const json_t *dcs = json_object_get (status, "data_centres");
   size_t n = 0;
@@ -40,7 +40,10 @@
 }
 
 static int
-lc_cli_confirm__wait (LcCliCommon *common, json_int_t revision, int64_t limit_s, LcError *error)
+lc_cli_confirm__wait_in_force (LcCliCommon *common,
+                               json_int_t revision,
+                               int64_t limit_s,
+                               LcError *error)
 {
   int64_t deadline_us = lc_clock_now_us () + limit_s * LC_US_PER_S;
 
@@ -48,7 +51,7 @@
     {
       json_t *status = NULL;
       int r = lc_cli_client_call (&common->client, "GET", "/v1/status", NULL, &status, error);
-      size_t n_behind = r == 0 ? lc_cli_confirm__n_behind (status, revision) : 1;
+      size_t n_behind = r == 0 ? lc_cli_confirm__count_behind (status, revision) : 1;
       bool is_applied =
           r == 0 && json_integer_value (json_object_get (status, "commit_index")) >= revision;
 
@@ -62,7 +65,7 @@
                              "revision %" JSON_INTEGER_FORMAT
                              " is not yet in force in %zu data centres",
                              revision, n_behind);
-      g_usleep (LC_CLI_POLL_MS * LC_US_PER_MS);
+      g_usleep (LC_CLI_POLL_INTERVAL_MS * LC_US_PER_MS);
     }
 }
 
@@ -87,11 +90,11 @@
 static int
 lc_cli_confirm__run (LcCliCommon *common, const LcCliConfirmArgs *args)
 {
-  json_t *request = lc_cli_request (common);
+  json_t *request = lc_cli_request_new (common);
   json_t *answer = NULL;
   LcError error = { 0 };
   guint64 id = 0;
-  int64_t wait_s = args->wait_s->count > 0 ? args->wait_s->ival[0] : LC_CLI_WAIT_S;
+  int64_t wait_s = args->wait_s->count > 0 ? args->wait_s->ival[0] : LC_CLI_WAIT_DEFAULT_S;
   bool has_waited = false;
   int r = 0;
 
@@ -104,8 +107,8 @@
   json_decref (request);
   if (r == 0 && args->wait->count > 0)
     {
-      r = lc_cli_confirm__wait (common, json_integer_value (json_object_get (answer, "revision")),
-                                wait_s, &error);
+      r = lc_cli_confirm__wait_in_force (
+          common, json_integer_value (json_object_get (answer, "revision")), wait_s, &error);
       has_waited = r == 0;
     }
   if (r == 0)
@@ -133,7 +136,7 @@
 
     r = lc_cli_parse (&common, table, G_N_ELEMENTS (table), argc, argv, "confirm",
                       "Carries out a plan, if nothing else was confirmed since it was made.");
-    if (r == LC_CLI_RUN)
+    if (r == LC_CLI_CONTINUE)
       r = lc_cli_confirm__run (&common, &args);
     return lc_cli_finish (table, G_N_ELEMENTS (table), r);
   }
--- a/src/cli/lc-cli-evacuate.c
+++ b/src/cli/lc-cli-evacuate.c
@@ -37,7 +37,7 @@
 static int
 lc_cli_evacuate__run (LcCliCommon *common, const LcCliEvacuateArgs *args)
 {
-  json_t *request = lc_cli_request (common);
+  json_t *request = lc_cli_request_new (common);
   json_t *answer = NULL;
   LcError error = { 0 };
   int r;
@@ -71,7 +71,7 @@
     r = lc_cli_parse (&common, table, G_N_ELEMENTS (table), argc, argv, "evacuate",
                       "Empties a data centre of new work at once, and takes that back; open flows "
                       "stay.");
-    if (r == LC_CLI_RUN)
+    if (r == LC_CLI_CONTINUE)
       r = lc_cli_evacuate__run (&common, &args);
     return lc_cli_finish (table, G_N_ELEMENTS (table), r);
   }
--- a/src/cli/lc-cli-explain.c
+++ b/src/cli/lc-cli-explain.c
@@ -33,14 +33,14 @@
   struct arg_lit *help;
   struct arg_file *files;
   struct arg_end *end;
-} LcCliExplain;
+} LcCliExplainArgs;
 
 /* === printing =============================================================================== */
 
 static void
 lc_cli_explain__print_time (int64_t at_us)
 {
-  char *text = lc_explain_clock (at_us);
+  char *text = lc_explain_format_time (at_us);
 
   (void)fputs (text, stdout);
   g_free (text);
@@ -93,7 +93,7 @@
 /* === flows and requests ===================================================================== */
 
 static int
-lc_cli_explain__nothing (const LcExplainLog *log)
+lc_cli_explain__print_no_match (const LcExplainLog *log)
 {
   LcError error = { 0 };
 
@@ -108,7 +108,7 @@
 }
 
 static int
-lc_cli_explain__one (const LcExplainLog *log, const LcCliExplain *args)
+lc_cli_explain__run_lines (const LcExplainLog *log, const LcCliExplainArgs *args)
 {
   int64_t around_us =
       (int64_t)(args->around_ms->count > 0 ? args->around_ms->ival[0] : LC_CLI_EXPLAIN_AROUND_MS) *
@@ -121,7 +121,7 @@
   for (guint i = 0; i < lines->len; i++)
     lc_cli_explain__print_line (g_ptr_array_index (lines, i), args->json->count > 0);
   g_ptr_array_unref (lines);
-  return n > 0 ? LC_CLI_DONE : lc_cli_explain__nothing (log);
+  return n > 0 ? LC_CLI_DONE : lc_cli_explain__print_no_match (log);
 }
 
 static void
@@ -142,14 +142,14 @@
 }
 
 static int
-lc_cli_explain__flows (const LcExplainLog *log,
-                       const LcCliExplain *args,
-                       const LcExplainQuery *query)
+lc_cli_explain__run_flows (const LcExplainLog *log,
+                           const LcCliExplainArgs *args,
+                           const LcExplainQuery *query)
 {
   GArray *flows = g_array_new (FALSE, FALSE, sizeof (LcExplainFlow));
   uint32_t n = 0;
 
-  lc_explain_flows (log, query, flows);
+  lc_explain_list_flows (log, query, flows);
   for (guint i = 0; i < flows->len; i++)
     {
       const LcExplainFlow *flow = &g_array_index (flows, LcExplainFlow, i);
@@ -160,7 +160,7 @@
       n++;
     }
   g_array_unref (flows);
-  return n > 0 ? LC_CLI_DONE : lc_cli_explain__nothing (log);
+  return n > 0 ? LC_CLI_DONE : lc_cli_explain__print_no_match (log);
 }
 
 /* === propagation of changes ================================================================= */
@@ -187,7 +187,7 @@
 }
 
 static int
-lc_cli_explain__print_spread (const LcSpread *spread, const LcCliExplain *args)
+lc_cli_explain__print_spread (const LcSpread *spread, const LcCliExplainArgs *args)
 {
   GString *out = g_string_new (NULL);
 
@@ -202,7 +202,7 @@
 }
 
 static int
-lc_cli_explain__spread (const LcCliExplain *args)
+lc_cli_explain__run_spread (const LcCliExplainArgs *args)
 {
   LcError error = { 0 };
   LcSpread spread;
@@ -214,7 +214,7 @@
     r = lc_spread_read (&spread, args->files->filename[i], &error);
   if (r < 0)
     lc_error_print (stderr, &error);
-  lc_spread_finish_reading (&spread);
+  lc_spread_compute (&spread);
   code = r < 0 ? LC_CLI_USAGE : lc_cli_explain__print_spread (&spread, args);
   lc_spread_finish (&spread);
   return code;
@@ -223,9 +223,9 @@
 /* === arguments ============================================================================== */
 
 static int
-lc_cli_explain__time (const struct arg_str *option, int64_t *at_us, LcError *error)
+lc_cli_explain__parse_time (const struct arg_str *option, int64_t *at_us, LcError *error)
 {
-  *at_us = option->count > 0 ? lc_explain_time (option->sval[0]) : 0;
+  *at_us = option->count > 0 ? lc_explain_parse_time (option->sval[0]) : 0;
   if (*at_us >= 0)
     return 0;
   return lc_error_set (error, LC_ERR_INVALID, "write 2026-12-02T13:02:53Z, or seconds since 1970",
@@ -233,14 +233,14 @@
 }
 
 static int
-lc_cli_explain__ask (LcExplainLog *log, const LcCliExplain *args)
+lc_cli_explain__run_query (LcExplainLog *log, const LcCliExplainArgs *args)
 {
   LcExplainQuery query = { 0 };
   LcError error = { 0 };
-  int r = lc_cli_explain__time (args->since, &query.since_us, &error);
+  int r = lc_cli_explain__parse_time (args->since, &query.since_us, &error);
 
   if (r == 0)
-    r = lc_cli_explain__time (args->until, &query.until_us, &error);
+    r = lc_cli_explain__parse_time (args->until, &query.until_us, &error);
   for (int i = 0; r == 0 && i < args->files->count; i++)
     r = lc_explain_read (log, args->files->filename[i], &error);
   if (r < 0)
@@ -253,12 +253,12 @@
   query.vm = args->vm->count > 0 ? args->vm->sval[0] : NULL;
   query.caller = args->caller->count > 0 ? args->caller->sval[0] : NULL;
   return args->flow->count > 0 || args->request->count > 0
-             ? lc_cli_explain__one (log, args)
-             : lc_cli_explain__flows (log, args, &query);
+             ? lc_cli_explain__run_lines (log, args)
+             : lc_cli_explain__run_flows (log, args, &query);
 }
 
 static int
-lc_cli_explain__run (int argc, char **argv, LcCliExplain *args, void **table)
+lc_cli_explain__run (int argc, char **argv, LcCliExplainArgs *args, void **table)
 {
   LcExplainLog log;
   int n_errors = arg_parse (argc, argv, table);
@@ -283,9 +283,9 @@
       return LC_CLI_USAGE;
     }
   if (args->spread->count > 0)
-    return lc_cli_explain__spread (args);
+    return lc_cli_explain__run_spread (args);
   lc_explain_init (&log);
-  code = lc_cli_explain__ask (&log, args);
+  code = lc_cli_explain__run_query (&log, args);
   lc_explain_finish (&log);
   return code;
 }
@@ -293,7 +293,7 @@
 int
 lc_cli_explain (int argc, char **argv)
 {
-  LcCliExplain args;
+  LcCliExplainArgs args;
   int code;
 
   args.flow =
--- a/src/cli/lc-cli-plan.c
+++ b/src/cli/lc-cli-plan.c
@@ -34,7 +34,7 @@
 /* === private: the request =================================================================== */
 
 static int
-lc_cli_plan__check (const LcCliPlanArgs *args, LcError *error)
+lc_cli_plan__check_args (const LcCliPlanArgs *args, LcError *error)
 {
   for (size_t i = 0; i < G_N_ELEMENTS (LC_CLI_INTENTS); i++)
     {
@@ -94,9 +94,9 @@
 }
 
 static int
-lc_cli_plan__request (const LcCliPlanArgs *args, json_t *request, LcError *error)
+lc_cli_plan__fill_request (const LcCliPlanArgs *args, json_t *request, LcError *error)
 {
-  int r = lc_cli_plan__check (args, error);
+  int r = lc_cli_plan__check_args (args, error);
 
   if (r == 0)
     r = lc_cli_plan__add_file (args, request, error);
@@ -127,7 +127,7 @@
 }
 
 static json_int_t
-lc_cli_plan__number (const json_t *plan, const char *key)
+lc_cli_plan__int (const json_t *plan, const char *key)
 {
   return json_integer_value (json_object_get (plan, key));
 }
@@ -135,25 +135,25 @@
 static void
 lc_cli_plan__print (const json_t *plan)
 {
-  json_int_t id = lc_cli_plan__number (plan, "plan_id");
+  json_int_t id = lc_cli_plan__int (plan, "plan_id");
   const char *target = json_string_value (json_object_get (plan, "target"));
   bool has_target = target != NULL && target[0] != '\0';
 
   (void)printf ("plan %" JSON_INTEGER_FORMAT ": %s%s%s, on revision %" JSON_INTEGER_FORMAT "\n", id,
                 json_string_value (json_object_get (plan, "intent")), has_target ? " " : "",
-                has_target ? target : "", lc_cli_plan__number (plan, "base_revision"));
+                has_target ? target : "", lc_cli_plan__int (plan, "base_revision"));
   (void)printf ("  steps:\n");
   lc_cli_plan__print_lines (json_object_get (plan, "steps"), "none");
   (void)printf ("  breaks:\n");
   lc_cli_plan__print_lines (json_object_get (plan, "breaks"), "nothing");
   (void)printf ("  moves new work away from %" JSON_INTEGER_FORMAT
                 " endpoints, within %" JSON_INTEGER_FORMAT " s%s\n",
-                lc_cli_plan__number (plan, "endpoints_moved"),
-                lc_cli_plan__number (plan, "no_new_work_within_s"),
+                lc_cli_plan__int (plan, "endpoints_moved"),
+                lc_cli_plan__int (plan, "no_new_work_within_s"),
                 json_is_true (json_object_get (plan, "waits_for_flows"))
                     ? "; established flows end by themselves"
                     : "");
-  if (lc_cli_plan__number (plan, "changes") > 0)
+  if (lc_cli_plan__int (plan, "changes") > 0)
     (void)printf ("nothing has changed yet; to carry it out: lychee confirm %" JSON_INTEGER_FORMAT
                   " --wait\n",
                   id);
@@ -162,10 +162,10 @@
 static int
 lc_cli_plan__run (LcCliCommon *common, const LcCliPlanArgs *args)
 {
-  json_t *request = lc_cli_request (common);
+  json_t *request = lc_cli_request_new (common);
   json_t *answer = NULL;
   LcError error = { 0 };
-  int r = lc_cli_plan__request (args, request, &error);
+  int r = lc_cli_plan__fill_request (args, request, &error);
 
   if (r == 0)
     r = lc_cli_client_call (&common->client, "POST", "/v1/plan", request, &answer, &error);
@@ -210,7 +210,7 @@
 
     r = lc_cli_parse (&common, table, G_N_ELEMENTS (table), argc, argv, "plan",
                       "Shows what an intent would change; nothing changes until it is confirmed.");
-    if (r == LC_CLI_RUN)
+    if (r == LC_CLI_CONTINUE)
       r = lc_cli_plan__run (&common, &args);
     return lc_cli_finish (table, G_N_ELEMENTS (table), r);
   }
--- a/src/cli/lc-cli-status.c
+++ b/src/cli/lc-cli-status.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  LC_CLI_LEADER_MS = 1000,
+  LC_CLI_LEADER_TIMEOUT_MS = 1000,
 };
 
 /* === private: JSON fields =================================================================== */
@@ -144,7 +144,7 @@
 static void
 lc_cli_status__print_attention (const json_t *s)
 {
-  GPtrArray *lines = lc_cli_attention (s);
+  GPtrArray *lines = lc_cli_attention_list (s);
 
   (void)printf ("needs a person:%s\n", lines->len == 0 ? " nothing" : "");
   for (guint i = 0; i < lines->len; i++)
@@ -158,7 +158,7 @@
 lc_cli_status__prefer_leader (const LcCliCommon *common, json_t **answer)
 {
   const char *leader = lc_cli__text (*answer, "leader");
-  LcCliClient client = { .n_addresses = 1, .timeout_ms = LC_CLI_LEADER_MS };
+  LcCliClient client = { .n_addresses = 1, .timeout_ms = LC_CLI_LEADER_TIMEOUT_MS };
   LcSocketAddress peer = { 0 };
   json_t *better = NULL;
   LcError error = { 0 };
@@ -219,7 +219,7 @@
 
     r = lc_cli_parse (&common, table, G_N_ELEMENTS (table), argc, argv, "status",
                       "Shows members, data centres, services and work under way.");
-    if (r == LC_CLI_RUN)
+    if (r == LC_CLI_CONTINUE)
       r = lc_cli_status__run (&common);
     return lc_cli_finish (table, G_N_ELEMENTS (table), r);
   }
@@ -279,7 +279,7 @@
 
     r = lc_cli_parse (&common, table, G_N_ELEMENTS (table), argc, argv, "history",
                       "Shows who planned and confirmed what, and when.");
-    if (r == LC_CLI_RUN)
+    if (r == LC_CLI_CONTINUE)
       r = lc_cli_history__run (&common, max->count > 0 ? max->ival[0] : 100);
     return lc_cli_finish (table, G_N_ELEMENTS (table), r);
   }
--- a/src/cli/lc-cli.c
+++ b/src/cli/lc-cli.c
@@ -6,7 +6,7 @@
 enum
 {
   LC_CLI_TIMEOUT_S = 15,
-  LC_CLI_MAX_ERRORS = 20,
+  LC_CLI_ERRORS_MAX = 20,
 };
 
 typedef struct
@@ -50,11 +50,11 @@
   common->who = arg_str0 (NULL, "who", "NAME", "name in the history ($USER)");
   common->request_id = arg_str0 (NULL, "request-id", "ID", "the id of a request to send again");
   common->help = arg_lit0 (NULL, "help", "print this text");
-  common->end = arg_end (LC_CLI_MAX_ERRORS);
+  common->end = arg_end (LC_CLI_ERRORS_MAX);
 }
 
 static int
-lc_cli__add_all (LcCliCommon *common, const char *list, LcError *error)
+lc_cli__add_addresses (LcCliCommon *common, const char *list, LcError *error)
 {
   gchar **parts = g_strsplit (list, ",", -1);
   int r = 0;
@@ -80,7 +80,7 @@
 }
 
 static void
-lc_cli__identify (LcCliCommon *common)
+lc_cli__set_identity (LcCliCommon *common)
 {
   const char *user = g_get_user_name ();
 
@@ -98,7 +98,7 @@
 }
 
 static int
-lc_cli__apply (LcCliCommon *common, LcError *error)
+lc_cli__apply_options (LcCliCommon *common, LcError *error)
 {
   int r = 0;
 
@@ -111,12 +111,12 @@
   if (r == 0 && common->control->count > 0)
     {
       common->client.n_addresses = 0;
-      r = lc_cli__add_all (common, common->control->sval[0], error);
+      r = lc_cli__add_addresses (common, common->control->sval[0], error);
     }
   if (r == 0 && common->client.n_addresses == 0)
     r = lc_error_set (error, LC_ERR_INVALID, "give --control A:P or --settings FILE",
                       "no control VM is named");
-  lc_cli__identify (common);
+  lc_cli__set_identity (common);
   return r;
 }
 
@@ -147,9 +147,9 @@
       (void)fprintf (stderr, "remedy: see lychee %s --help\n", name);
       return LC_CLI_USAGE;
     }
-  if (lc_cli__apply (common, &error) < 0)
+  if (lc_cli__apply_options (common, &error) < 0)
     return lc_cli_fail (common, &error);
-  return LC_CLI_RUN;
+  return LC_CLI_CONTINUE;
 }
 
 int
@@ -194,7 +194,7 @@
 }
 
 json_t *
-lc_cli_request (const LcCliCommon *common)
+lc_cli_request_new (const LcCliCommon *common)
 {
   return json_pack ("{s:s,s:s}", "request_id", common->request_id_text, "who", common->who_text);
 }
--- a/src/cli/lc-cli.h
+++ b/src/cli/lc-cli.h
@@ -10,7 +10,7 @@
  *     lc_cli_common_init (&common);
  *     void *table[] = { mine, LC_CLI_COMMON_ARGS (common) };
  *     r = lc_cli_parse (&common, table, G_N_ELEMENTS (table), argc, argv, "plan", "what it does");
- *     if (r == LC_CLI_RUN)
+ *     if (r == LC_CLI_CONTINUE)
  *       r = run (&common);
  *     return lc_cli_finish (table, G_N_ELEMENTS (table), r);
  *
@@ -27,7 +27,7 @@
 
 enum
 {
-  LC_CLI_RUN = -1, /* no exit code yet */
+  LC_CLI_CONTINUE = -1, /* no exit code yet */
   LC_CLI_DONE = 0,
   LC_CLI_FAILED = 1,
   LC_CLI_USAGE = 2,
@@ -70,7 +70,7 @@
 /* Prints a JSON value on one line. */
 void lc_cli_print_json (const json_t *value);
 /* Creates a request body with request_id and who. */
-json_t *lc_cli_request (const LcCliCommon *common);
+json_t *lc_cli_request_new (const LcCliCommon *common);
 
 /* The subcommands; argv[0] is the subcommand's name. */
 int lc_cli_plan (int argc, char **argv);
