--- a/src/cli/lc-explain.c
+++ b/src/cli/lc-explain.c
@@ -18,7 +18,7 @@
 }
 
 char *
-lc_explain_clock (int64_t at_us)
+lc_explain_format_time (int64_t at_us)
 {
   GDateTime *time = g_date_time_new_from_unix_utc (at_us / LC_US_PER_S);
   char *second = g_date_time_format (time, "%H:%M:%S");
@@ -30,7 +30,7 @@
 }
 
 int64_t
-lc_explain_time (const char *text)
+lc_explain_parse_time (const char *text)
 {
   GDateTime *time = g_date_time_new_from_iso8601 (text, NULL);
   int64_t at_us;
@@ -50,7 +50,7 @@
 /* === private: reading ======================================================================= */
 
 static void
-lc_explain__add (void *user, uint64_t number, const char *text)
+lc_explain__add_line (void *user, uint64_t number, const char *text)
 {
   LcExplainLog *log = user;
   const char *brace = strchr (text, '{');
@@ -58,7 +58,7 @@
   LcExplainLine line = { .json = json, .at_us = -1 };
 
   if (json != NULL)
-    line.at_us = lc_explain_time (lc_explain_text (json, "time"));
+    line.at_us = lc_explain_parse_time (lc_explain_text (json, "time"));
   if (line.at_us < 0)
     {
       log->n_skipped++;
@@ -75,7 +75,7 @@
 }
 
 static void
-lc_explain__drop_line (gpointer line)
+lc_explain__clear_line (gpointer line)
 {
   json_decref (((LcExplainLine *)line)->json);
 }
@@ -87,7 +87,7 @@
 {
   memset (log, 0, sizeof *log);
   log->lines = g_array_new (FALSE, FALSE, sizeof (LcExplainLine));
-  g_array_set_clear_func (log->lines, lc_explain__drop_line);
+  g_array_set_clear_func (log->lines, lc_explain__clear_line);
 }
 
 void
@@ -123,7 +123,7 @@
 int
 lc_explain_read (LcExplainLog *log, const char *path, LcError *error)
 {
-  return lc_explain_each_line (path, lc_explain__add, log, error);
+  return lc_explain_each_line (path, lc_explain__add_line, log, error);
 }
 
 static gint
@@ -159,7 +159,7 @@
 } LcExplainSubject;
 
 static bool
-lc_explain__is_named (const LcExplainSubject *subject, const char *name)
+lc_explain__has_id (const LcExplainSubject *subject, const char *name)
 {
   return name != NULL && g_hash_table_contains (subject->names, name);
 }
@@ -169,23 +169,25 @@
 {
   if (subject->flow != NULL)
     return line->flow != NULL && strcmp (line->flow, subject->flow) == 0;
-  return lc_explain__is_named (subject, line->request) || lc_explain__is_named (subject, line->key);
+  return lc_explain__has_id (subject, line->request) || lc_explain__has_id (subject, line->key);
 }
 
 static bool
-lc_explain__names_any (const LcExplainLine *line)
+lc_explain__has_any_id (const LcExplainLine *line)
 {
   return line->flow != NULL || line->request != NULL || line->key != NULL;
 }
 
 static char *
-lc_explain__process (const LcExplainLine *line)
+lc_explain__process_key (const LcExplainLine *line)
 {
   return g_strdup_printf ("%s %s", line->program, line->name);
 }
 
 static void
-lc_explain__span (const LcExplainLog *log, const LcExplainSubject *subject, LcExplainSpan *span)
+lc_explain__find_span (const LcExplainLog *log,
+                       const LcExplainSubject *subject,
+                       LcExplainSpan *span)
 {
   memset (span, 0, sizeof *span);
   span->processes = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -198,7 +200,7 @@
       if (span->n_lines++ == 0)
         span->first_us = line->at_us;
       span->last_us = line->at_us;
-      (void)g_hash_table_add (span->processes, lc_explain__process (line));
+      (void)g_hash_table_add (span->processes, lc_explain__process_key (line));
     }
 }
 
@@ -209,25 +211,25 @@
   char *process;
   bool is_involved;
 
-  if (lc_explain__names_any (line))
+  if (lc_explain__has_any_id (line))
     return false;
   if (strcmp (line->program, "lychee-control") == 0)
     return !g_str_has_prefix (line->event, "control.peer-");
-  process = lc_explain__process (line);
+  process = lc_explain__process_key (line);
   is_involved = g_hash_table_contains (span->processes, process);
   g_free (process);
   return is_involved;
 }
 
 static uint32_t
-lc_explain__tell (const LcExplainLog *log,
-                  const LcExplainSubject *subject,
-                  int64_t around_us,
-                  GPtrArray *out)
+lc_explain__select_lines (const LcExplainLog *log,
+                          const LcExplainSubject *subject,
+                          int64_t around_us,
+                          GPtrArray *out)
 {
   LcExplainSpan span;
 
-  lc_explain__span (log, subject, &span);
+  lc_explain__find_span (log, subject, &span);
   for (guint i = 0; span.n_lines > 0 && i < log->lines->len; i++)
     {
       LcExplainLine *line = &g_array_index (log->lines, LcExplainLine, i);
@@ -243,7 +245,7 @@
 
 /* Adds the other ids on lines about the request; returns whether any was new. */
 static bool
-lc_explain__learn_names (const LcExplainLog *log, const LcExplainSubject *subject)
+lc_explain__add_ids (const LcExplainLog *log, const LcExplainSubject *subject)
 {
   bool is_new = false;
 
@@ -252,7 +254,7 @@
       const LcExplainLine *line = &g_array_index (log->lines, LcExplainLine, i);
       const char *caller_key = json_string_value (json_object_get (line->json, "caller_key"));
 
-      if (!lc_explain__is_about (line, subject) && !lc_explain__is_named (subject, caller_key))
+      if (!lc_explain__is_about (line, subject) && !lc_explain__has_id (subject, caller_key))
         continue;
       if (line->request != NULL)
         is_new = g_hash_table_add (subject->names, (gpointer)line->request) || is_new;
@@ -267,7 +269,7 @@
 uint32_t
 lc_explain_flow (const LcExplainLog *log, const char *id, int64_t around_us, GPtrArray *out)
 {
-  return lc_explain__tell (log, &(LcExplainSubject){ .flow = id }, around_us, out);
+  return lc_explain__select_lines (log, &(LcExplainSubject){ .flow = id }, around_us, out);
 }
 
 uint32_t
@@ -277,9 +279,9 @@
   uint32_t n;
 
   (void)g_hash_table_add (subject.names, (gpointer)id);
-  while (lc_explain__learn_names (log, &subject))
+  while (lc_explain__add_ids (log, &subject))
     ;
-  n = lc_explain__tell (log, &subject, around_us, out);
+  n = lc_explain__select_lines (log, &subject, around_us, out);
   g_hash_table_unref (subject.names);
   return n;
 }
@@ -287,7 +289,7 @@
 /* === public: list of flows ================================================================== */
 
 static bool
-lc_explain__fits (const LcExplainLine *line, const LcExplainQuery *query)
+lc_explain__matches (const LcExplainLine *line, const LcExplainQuery *query)
 {
   const char *arrow = line->flow != NULL ? strchr (line->flow, '>') : NULL;
   size_t len = query->caller != NULL ? strlen (query->caller) : 0;
@@ -316,7 +318,7 @@
 }
 
 void
-lc_explain_flows (const LcExplainLog *log, const LcExplainQuery *query, GArray *out)
+lc_explain_list_flows (const LcExplainLog *log, const LcExplainQuery *query, GArray *out)
 {
   GHashTable *indexes = g_hash_table_new (g_str_hash, g_str_equal); /* id -> index in out, plus 1 */
 
@@ -326,7 +328,7 @@
       LcExplainFlow *flow;
       guint index;
 
-      if (!lc_explain__fits (line, query))
+      if (!lc_explain__matches (line, query))
         continue;
       index = GPOINTER_TO_UINT (g_hash_table_lookup (indexes, line->flow));
       if (index == 0)
--- a/src/cli/lc-explain.h
+++ b/src/cli/lc-explain.h
@@ -90,11 +90,11 @@
 uint32_t
 lc_explain_request (const LcExplainLog *log, const char *id, int64_t around_us, GPtrArray *out);
 /* Appends the matching flows, by their first lines' time, to `out` (LcExplainFlow). */
-void lc_explain_flows (const LcExplainLog *log, const LcExplainQuery *query, GArray *out);
+void lc_explain_list_flows (const LcExplainLog *log, const LcExplainQuery *query, GArray *out);
 /* Parses "2026-08-05T13:02:53.138022Z" or seconds since 1970; negative if it is neither. */
-int64_t lc_explain_time (const char *text);
+int64_t lc_explain_parse_time (const char *text);
 /* The time of day, "13:02:53.138"; to be freed. */
-char *lc_explain_clock (int64_t at_us);
+char *lc_explain_format_time (int64_t at_us);
 /* A field of a line; "" if it is missing or no string. */
 const char *lc_explain_text (const json_t *json, const char *key);
 
--- a/src/cli/lc-spread-write.c
+++ b/src/cli/lc-spread-write.c
@@ -17,7 +17,7 @@
 static void
 lc_spread__put_change (const LcSpreadChange *change, GString *out)
 {
-  char *clock = lc_explain_clock (change->at_us);
+  char *clock = lc_explain_format_time (change->at_us);
 
   g_string_append_printf (out, "%s %-20s %-24s", clock, change->what, change->member);
   for (int role = 0; role < LC_SPREAD_N_ROLES; role++)
@@ -45,7 +45,7 @@
 }
 
 static void
-lc_spread__put_bad (const LcSpread *s, GString *out)
+lc_spread__put_skipped (const LcSpread *s, GString *out)
 {
   for (guint i = 0; i < s->skipped->len; i++)
     g_string_append_printf (out, "skipped %s\n", (const char *)g_ptr_array_index (s->skipped, i));
@@ -167,7 +167,7 @@
 void
 lc_spread_write_text (const LcSpread *s, GString *out)
 {
-  GArray *kinds = lc_spread_kinds (s);
+  GArray *kinds = lc_spread_summarize (s);
 
   g_string_append (out, "Times in ms from the change to the middle and the last machine of a role; "
                         "machines that had it, were not there, never had it.\n\n"
@@ -181,7 +181,7 @@
     lc_spread__put_kind (&g_array_index (kinds, LcSpreadKind, i), out);
   g_string_append_printf (out, "\n%u processes, %" G_GUINT64_FORMAT " lines\n",
                           g_hash_table_size (s->processes), (guint64)s->n_lines);
-  lc_spread__put_bad (s, out);
+  lc_spread__put_skipped (s, out);
   g_array_unref (kinds);
 }
 
--- a/src/cli/lc-spread.c
+++ b/src/cli/lc-spread.c
@@ -17,7 +17,7 @@
 }
 
 static LcSpreadProcess *
-lc_spread__process (LcSpread *s, const char *program, const char *name)
+lc_spread__get_process (LcSpread *s, const char *program, const char *name)
 {
   LcSpreadRole role;
   LcSpreadProcess *p;
@@ -89,7 +89,7 @@
 }
 
 static void
-lc_spread__note_proposed (LcSpread *s, const json_t *line, int64_t at_us)
+lc_spread__add_proposed (LcSpread *s, const json_t *line, int64_t at_us)
 {
   LcSpreadChange change = { .at_us = at_us, .revision = lc_spread__number (line, "revision") + 1 };
   char key[3 * LC_NAME_MAX];
@@ -102,7 +102,7 @@
 }
 
 static void
-lc_spread__note_declared (LcSpread *s, const json_t *line, int64_t at_us)
+lc_spread__add_declared (LcSpread *s, const json_t *line, int64_t at_us)
 {
   LcSpreadChange change = { .what = "declaration",
                             .at_us = at_us,
@@ -119,7 +119,7 @@
 /* === private: lines that only show that a process runs ====================================== */
 
 static void
-lc_spread__note_alive (LcSpreadProcess *p, int64_t at_us)
+lc_spread__extend_lifetime (LcSpreadProcess *p, int64_t at_us)
 {
   p->first_us = MIN (p->first_us, at_us);
   p->last_us = MAX (p->last_us, at_us);
@@ -127,7 +127,7 @@
 
 /* Reads a header field, which lc-log writes without escapes, before all others. */
 static bool
-lc_spread__header (const char *text, const char *key, char *out, size_t size)
+lc_spread__read_header (const char *text, const char *key, char *out, size_t size)
 {
   const char *at = strstr (text, key);
   const char *end = at != NULL ? strchr (at + strlen (key), '"') : NULL;
@@ -142,7 +142,7 @@
 
 /* Most lines are of this kind, so the JSON is not parsed.  Returns whether it has the headers. */
 static bool
-lc_spread__take_header (LcSpread *s, const char *text)
+lc_spread__add_header (LcSpread *s, const char *text)
 {
   char time[LC_NAME_MAX];
   char program[LC_NAME_MAX];
@@ -150,43 +150,43 @@
   LcSpreadProcess *p;
   int64_t at_us;
 
-  if (!lc_spread__header (text, "\"time\":\"", time, sizeof time) ||
-      !lc_spread__header (text, "\"program\":\"", program, sizeof program) ||
-      !lc_spread__header (text, "\"name\":\"", name, sizeof name))
+  if (!lc_spread__read_header (text, "\"time\":\"", time, sizeof time) ||
+      !lc_spread__read_header (text, "\"program\":\"", program, sizeof program) ||
+      !lc_spread__read_header (text, "\"name\":\"", name, sizeof name))
     return false;
-  at_us = lc_explain_time (time);
+  at_us = lc_explain_parse_time (time);
   if (at_us < 0)
     return false;
-  p = lc_spread__process (s, program, name);
+  p = lc_spread__get_process (s, program, name);
   if (p != NULL)
-    lc_spread__note_alive (p, at_us);
+    lc_spread__extend_lifetime (p, at_us);
   return true;
 }
 
 /* === private: lines ========================================================================= */
 
 static void
-lc_spread__bad (LcSpread *s, const char *path, uint64_t number, const char *why)
+lc_spread__skip_line (LcSpread *s, const char *path, uint64_t number, const char *why)
 {
-  if (s->n_skipped++ < LC_SPREAD_BAD_NAMED)
+  if (s->n_skipped++ < LC_SPREAD_SKIPPED_LISTED)
     g_ptr_array_add (s->skipped,
                      g_strdup_printf ("%s:%" G_GUINT64_FORMAT ": %s", path, (guint64)number, why));
 }
 
 static void
-lc_spread__take (LcSpread *s, const json_t *line, int64_t at_us)
+lc_spread__add_event (LcSpread *s, const json_t *line, int64_t at_us)
 {
   const char *event = lc_explain_text (line, "event");
   LcSpreadProcess *p =
-      lc_spread__process (s, lc_explain_text (line, "program"), lc_explain_text (line, "name"));
+      lc_spread__get_process (s, lc_explain_text (line, "program"), lc_explain_text (line, "name"));
 
   if (strcmp (event, "member.proposed") == 0)
-    lc_spread__note_proposed (s, line, at_us);
+    lc_spread__add_proposed (s, line, at_us);
   else if (strcmp (event, "declaration.answered") == 0)
-    lc_spread__note_declared (s, line, at_us);
+    lc_spread__add_declared (s, line, at_us);
   if (p == NULL)
     return;
-  lc_spread__note_alive (p, at_us);
+  lc_spread__extend_lifetime (p, at_us);
   if (strcmp (event, "view.applied") == 0)
     lc_spread__add_point (s, p, at_us, lc_spread__number (line, "revision"));
   else if (strcmp (event, "app.started") == 0)
@@ -195,7 +195,7 @@
 
 /* Whether the line may contain a view or a change. */
 static bool
-lc_spread__is_of_interest (const char *text)
+lc_spread__needs_parsing (const char *text)
 {
   return strstr (text, "\"view.applied\"") != NULL || strstr (text, "\"app.started\"") != NULL ||
          strstr (text, "\"member.proposed\"") != NULL ||
@@ -209,7 +209,7 @@
 } LcSpreadFile;
 
 static void
-lc_spread__add (void *user, uint64_t number, const char *text)
+lc_spread__add_line (void *user, uint64_t number, const char *text)
 {
   LcSpread *s = ((LcSpreadFile *)user)->spread;
   const char *path = ((LcSpreadFile *)user)->path;
@@ -220,22 +220,22 @@
   s->n_lines++;
   if (brace == NULL || strchr (brace, '}') == NULL)
     {
-      lc_spread__bad (s, path, number, "no JSON object");
+      lc_spread__skip_line (s, path, number, "no JSON object");
       return;
     }
-  if (!lc_spread__is_of_interest (brace))
+  if (!lc_spread__needs_parsing (brace))
     {
-      if (!lc_spread__take_header (s, brace))
-        lc_spread__bad (s, path, number, "no time, program or name");
+      if (!lc_spread__add_header (s, brace))
+        lc_spread__skip_line (s, path, number, "no time, program or name");
       return;
     }
   line = json_loads (brace, JSON_DISABLE_EOF_CHECK, NULL);
   if (line != NULL)
-    at_us = lc_explain_time (lc_explain_text (line, "time"));
+    at_us = lc_explain_parse_time (lc_explain_text (line, "time"));
   if (at_us < 0)
-    lc_spread__bad (s, path, number, line == NULL ? "no JSON object" : "no time");
+    lc_spread__skip_line (s, path, number, line == NULL ? "no JSON object" : "no time");
   else
-    lc_spread__take (s, line, at_us);
+    lc_spread__add_event (s, line, at_us);
   json_decref (line);
 }
 
@@ -266,7 +266,7 @@
 {
   LcSpreadFile file = { s, path };
 
-  return lc_explain_each_line (path, lc_spread__add, &file, error);
+  return lc_explain_each_line (path, lc_spread__add_line, &file, error);
 }
 
 static gint
@@ -292,13 +292,13 @@
 typedef enum
 {
   LC_SPREAD_REACHED,
-  LC_SPREAD_APART,
+  LC_SPREAD_EXCLUDED,
   LC_SPREAD_MISSING,
 } LcSpreadReach;
 
 /* Index of the first point at or after that time. */
 static guint
-lc_spread__from (const GArray *points, int64_t at_us)
+lc_spread__first_from (const GArray *points, int64_t at_us)
 {
   guint low = 0;
   guint high = points->len;
@@ -317,13 +317,13 @@
 
 /* Finds when the process had the change; by a clock that is behind, that may be before it. */
 static LcSpreadReach
-lc_spread__reach (const LcSpreadProcess *p, const LcSpreadChange *change, int64_t *after_us)
+lc_spread__find_reach (const LcSpreadProcess *p, const LcSpreadChange *change, int64_t *after_us)
 {
-  guint at = lc_spread__from (p->points, change->at_us);
+  guint at = lc_spread__first_from (p->points, change->at_us);
 
   *after_us = 0;
   if (p->first_us > change->at_us || p->last_us < change->at_us)
-    return LC_SPREAD_APART;
+    return LC_SPREAD_EXCLUDED;
   if (at > 0 && g_array_index (p->points, LcSpreadPoint, at - 1).revision >= change->revision)
     return LC_SPREAD_REACHED;
   for (; at < p->points->len; at++)
@@ -331,7 +331,7 @@
       const LcSpreadPoint *point = &g_array_index (p->points, LcSpreadPoint, at);
 
       if (point->revision == 0)
-        return LC_SPREAD_APART;
+        return LC_SPREAD_EXCLUDED;
       if (point->revision < change->revision)
         continue;
       *after_us = point->at_us - change->at_us;
@@ -350,20 +350,20 @@
 }
 
 static int64_t
-lc_spread__middle (GArray *times)
+lc_spread__median (GArray *times)
 {
   g_array_sort (times, lc_spread__compare_times);
   return times->len > 0 ? g_array_index (times, int64_t, (times->len - 1) / 2) : -1;
 }
 
 static int64_t
-lc_spread__last (const GArray *times)
+lc_spread__max (const GArray *times)
 {
   return times->len > 0 ? g_array_index (times, int64_t, times->len - 1) : -1;
 }
 
 static void
-lc_spread__find_times (const LcSpread *s, LcSpreadChange *change)
+lc_spread__compute_times (const LcSpread *s, LcSpreadChange *change)
 {
   LcSpreadTimes *times = change->times;
   GArray *reached[LC_SPREAD_N_ROLES];
@@ -378,12 +378,12 @@
       const LcSpreadProcess *p = value;
       int64_t after_us;
 
-      switch (lc_spread__reach (p, change, &after_us))
+      switch (lc_spread__find_reach (p, change, &after_us))
         {
         case LC_SPREAD_REACHED:
           g_array_append_val (reached[p->role], after_us);
           break;
-        case LC_SPREAD_APART:
+        case LC_SPREAD_EXCLUDED:
           times[p->role].n_excluded++;
           break;
         case LC_SPREAD_MISSING:
@@ -394,8 +394,8 @@
   for (int role = 0; role < LC_SPREAD_N_ROLES; role++)
     {
       times[role].n_reached = reached[role]->len;
-      times[role].median_us = lc_spread__middle (reached[role]);
-      times[role].last_us = lc_spread__last (reached[role]);
+      times[role].median_us = lc_spread__median (reached[role]);
+      times[role].last_us = lc_spread__max (reached[role]);
       g_array_unref (reached[role]);
     }
 }
@@ -403,7 +403,7 @@
 /* === public: the end of reading ============================================================= */
 
 void
-lc_spread_finish_reading (LcSpread *s)
+lc_spread_compute (LcSpread *s)
 {
   GHashTableIter iter;
   gpointer value;
@@ -414,7 +414,7 @@
   g_array_sort (s->changes, lc_spread__compare_changes);
   g_hash_table_remove_all (s->index); /* sorting has changed the indexes */
   for (guint i = 0; i < s->changes->len; i++)
-    lc_spread__find_times (s, &g_array_index (s->changes, LcSpreadChange, i));
+    lc_spread__compute_times (s, &g_array_index (s->changes, LcSpreadChange, i));
 }
 
 const char *
@@ -432,7 +432,7 @@
 }
 
 static LcSpreadKind *
-lc_spread__kind (GArray *kinds, const char *what)
+lc_spread__get_kind (GArray *kinds, const char *what)
 {
   LcSpreadKind fresh = { .n = 0 };
 
@@ -445,7 +445,7 @@
 }
 
 static void
-lc_spread__sum_kind (const LcSpread *s, LcSpreadKind *kind)
+lc_spread__summarize_kind (const LcSpread *s, LcSpreadKind *kind)
 {
   GArray *last[LC_SPREAD_N_ROLES];
 
@@ -463,21 +463,21 @@
     }
   for (int role = 0; role < LC_SPREAD_N_ROLES; role++)
     {
-      kind->median_us[role] = lc_spread__middle (last[role]);
-      kind->worst_us[role] = lc_spread__last (last[role]);
+      kind->median_us[role] = lc_spread__median (last[role]);
+      kind->worst_us[role] = lc_spread__max (last[role]);
       g_array_unref (last[role]);
     }
 }
 
 GArray *
-lc_spread_kinds (const LcSpread *s)
+lc_spread_summarize (const LcSpread *s)
 {
   GArray *kinds = g_array_new (FALSE, FALSE, sizeof (LcSpreadKind));
 
   for (guint i = 0; i < s->changes->len; i++)
-    lc_spread__kind (kinds, g_array_index (s->changes, LcSpreadChange, i).what)->n++;
+    lc_spread__get_kind (kinds, g_array_index (s->changes, LcSpreadChange, i).what)->n++;
   g_array_sort (kinds, lc_spread__compare_kinds);
   for (guint i = 0; i < kinds->len; i++)
-    lc_spread__sum_kind (s, &g_array_index (kinds, LcSpreadKind, i));
+    lc_spread__summarize_kind (s, &g_array_index (kinds, LcSpreadKind, i));
   return kinds;
 }
--- a/src/cli/lc-spread.h
+++ b/src/cli/lc-spread.h
@@ -13,7 +13,7 @@
  * HOW TO USE IT
  *     lc_spread_init (&spread);
  *     lc_spread_read (&spread, "balancer.log", &error);      for each file, in any order
- *     lc_spread_finish_reading (&spread);
+ *     lc_spread_compute (&spread);
  *     for (guint i = 0; i < spread.changes->len; i++)
  *       g_array_index (spread.changes, LcSpreadChange, i).times[LC_SPREAD_AGENT].last_us
  *     lc_spread_finish (&spread);
@@ -38,7 +38,7 @@
 {
   LC_SPREAD_POINTS_MAX = 4 << 20,
   LC_SPREAD_CHANGES_MAX = 1 << 16,
-  LC_SPREAD_BAD_NAMED = 10, /* skipped lines that are listed; others are counted */
+  LC_SPREAD_SKIPPED_LISTED = 10, /* skipped lines that are listed; others are counted */
 };
 
 typedef enum
@@ -79,7 +79,7 @@
   char member[LC_NAME_MAX]; /* or number of the declaration */
   int64_t at_us;            /* when control first proposed it, or logged it as in force */
   uint64_t revision;        /* the first view that has it */
-  LcSpreadTimes times[LC_SPREAD_N_ROLES]; /* set by lc_spread_finish_reading */
+  LcSpreadTimes times[LC_SPREAD_N_ROLES]; /* set by lc_spread_compute */
 } LcSpreadChange;
 
 typedef struct
@@ -87,7 +87,7 @@
   GHashTable *processes; /* "program name" -> LcSpreadProcess, owned */
   GArray *changes;       /* LcSpreadChange, in the end sorted by time */
   GHashTable *index;     /* keys of `changes` -> index + 1 */
-  GPtrArray *skipped;    /* "file:line: why", the first LC_SPREAD_BAD_NAMED */
+  GPtrArray *skipped;    /* "file:line: why", the first LC_SPREAD_SKIPPED_LISTED */
   uint64_t n_skipped;
   uint64_t n_lines;
   uint64_t n_points;
@@ -99,7 +99,7 @@
 /* "-" reads standard input. */
 int lc_spread_read (LcSpread *spread, const char *path, LcError *error);
 /* Computes the times of each change.  Call it once, after the last read. */
-void lc_spread_finish_reading (LcSpread *spread);
+void lc_spread_compute (LcSpread *spread);
 const char *lc_spread_role_name (LcSpreadRole role);
 
 /* All changes of one kind: their number, and the median and maximum of their last_us. */
@@ -112,7 +112,7 @@
 } LcSpreadKind;
 
 /* LcSpreadKind of each kind, by name; the caller unreferences it. */
-GArray *lc_spread_kinds (const LcSpread *spread);
+GArray *lc_spread_summarize (const LcSpread *spread);
 
 /* === lc-spread-write.c ====================================================================== */
 
--- a/src/control/lc-codec-private.h
+++ b/src/control/lc-codec-private.h
@@ -23,7 +23,7 @@
 }
 
 static inline void *
-lc_codec__new (LcArena *arena, size_t n, size_t size)
+lc_codec__alloc (LcArena *arena, size_t n, size_t size)
 {
   void *memory = g_malloc0_n (MAX (n, 1), size);
 
@@ -32,9 +32,9 @@
 }
 
 static inline void *
-lc_codec__list (LcArena *arena, size_t n)
+lc_codec__alloc_pointers (LcArena *arena, size_t n)
 {
-  return lc_codec__new (arena, n, sizeof (void *));
+  return lc_codec__alloc (arena, n, sizeof (void *));
 }
 
 static inline GBytes *
@@ -48,7 +48,7 @@
 }
 
 static inline int
-lc_codec__malformed (LcError *error, const char *what)
+lc_codec__set_malformed (LcError *error, const char *what)
 {
   return lc_error_set (error, LC_ERR_INVALID, "run the same version on all control VMs",
                        "%s can't be read", what);
--- a/src/control/lc-control-codec.c
+++ b/src/control/lc-control-codec.c
@@ -7,8 +7,8 @@
 static void
 lc_codec__write_service (LcArena *arena, Lc__Wire__DeclaredService *m, const LcDeclaredService *s)
 {
-  Lc__Wire__DeclaredAddress *addresses = lc_codec__new (arena, s->n_addresses, sizeof *addresses);
-  Lc__Wire__DeclaredRoute *routes = lc_codec__new (arena, s->n_routes, sizeof *routes);
+  Lc__Wire__DeclaredAddress *addresses = lc_codec__alloc (arena, s->n_addresses, sizeof *addresses);
+  Lc__Wire__DeclaredRoute *routes = lc_codec__alloc (arena, s->n_routes, sizeof *routes);
 
   lc__wire__declared_service__init (m);
   m->name = (char *)s->name;
@@ -21,7 +21,7 @@
   m->cold_rate_mrps = s->cold_rate_mrps;
   m->returns_packets = s->returns_packets;
   m->n_addresses = s->n_addresses;
-  m->addresses = lc_codec__list (arena, s->n_addresses);
+  m->addresses = lc_codec__alloc_pointers (arena, s->n_addresses);
   for (uint32_t i = 0; i < s->n_addresses; i++)
     {
       lc__wire__declared_address__init (&addresses[i]);
@@ -32,7 +32,7 @@
       m->addresses[i] = &addresses[i];
     }
   m->n_routes = s->n_routes;
-  m->routes = lc_codec__list (arena, s->n_routes);
+  m->routes = lc_codec__alloc_pointers (arena, s->n_routes);
   for (uint32_t i = 0; i < s->n_routes; i++)
     {
       lc__wire__declared_route__init (&routes[i]);
@@ -46,9 +46,9 @@
 lc_codec__write_intent (LcArena *arena, const LcIntent *intent)
 {
   const LcDeclaration *d = &intent->declaration;
-  Lc__Wire__Intent *m = lc_codec__new (arena, 1, sizeof *m);
-  Lc__Wire__DeclaredDc *dcs = lc_codec__new (arena, d->n_dcs, sizeof *dcs);
-  Lc__Wire__DeclaredService *services = lc_codec__new (arena, d->n_services, sizeof *services);
+  Lc__Wire__Intent *m = lc_codec__alloc (arena, 1, sizeof *m);
+  Lc__Wire__DeclaredDc *dcs = lc_codec__alloc (arena, d->n_dcs, sizeof *dcs);
+  Lc__Wire__DeclaredService *services = lc_codec__alloc (arena, d->n_services, sizeof *services);
 
   lc__wire__intent__init (m);
   m->kind = intent->kind;
@@ -60,7 +60,7 @@
   m->replacement_peer_port = intent->replacement.peer_port;
   m->replacement_http_port = intent->replacement.http_port;
   m->n_dcs = d->n_dcs;
-  m->dcs = lc_codec__list (arena, d->n_dcs);
+  m->dcs = lc_codec__alloc_pointers (arena, d->n_dcs);
   for (uint32_t i = 0; i < d->n_dcs; i++)
     {
       lc__wire__declared_dc__init (&dcs[i]);
@@ -69,7 +69,7 @@
       m->dcs[i] = &dcs[i];
     }
   m->n_services = d->n_services;
-  m->services = lc_codec__list (arena, d->n_services);
+  m->services = lc_codec__alloc_pointers (arena, d->n_services);
   for (uint32_t i = 0; i < d->n_services; i++)
     {
       lc_codec__write_service (arena, &services[i], &d->services[i]);
@@ -145,7 +145,7 @@
 static Lc__Wire__CommandMember *
 lc_codec__write_member (LcArena *arena, const LcMemberChange *change)
 {
-  Lc__Wire__CommandMember *m = lc_codec__new (arena, 1, sizeof *m);
+  Lc__Wire__CommandMember *m = lc_codec__alloc (arena, 1, sizeof *m);
 
   lc__wire__command_member__init (m);
   m->kind = change->kind;
@@ -156,12 +156,12 @@
     m->settled_revision = change->settled_revision;
   else if (change->kind <= LC_MEMBER_ENDPOINT_LOST)
     {
-      m->endpoint = lc_codec__new (arena, 1, sizeof *m->endpoint);
+      m->endpoint = lc_codec__alloc (arena, 1, sizeof *m->endpoint);
       lc_wire_endpoint_write (m->endpoint, &change->endpoint);
     }
   else
     {
-      m->balancer = lc_codec__new (arena, 1, sizeof *m->balancer);
+      m->balancer = lc_codec__alloc (arena, 1, sizeof *m->balancer);
       lc_wire_balancer_write (m->balancer, &change->balancer);
     }
   return m;
@@ -190,7 +190,7 @@
 lc_codec__write_changes (LcArena *arena, Lc__Wire__Command *m, const LcControlCommand *command)
 {
   m->n_changes = command->changes.n;
-  m->changes = lc_codec__list (arena, command->changes.n);
+  m->changes = lc_codec__alloc_pointers (arena, command->changes.n);
   for (uint32_t i = 0; i < command->changes.n; i++)
     m->changes[i] = lc_codec__write_member (arena, &command->changes.items[i]);
 }
@@ -212,7 +212,7 @@
 static Lc__Wire__NumberedDeclaration *
 lc_codec__write_numbered (LcArena *arena, const LcNumberedDeclaration *n)
 {
-  Lc__Wire__NumberedDeclaration *m = lc_codec__new (arena, 1, sizeof *m);
+  Lc__Wire__NumberedDeclaration *m = lc_codec__alloc (arena, 1, sizeof *m);
   LcIntent intent = { .kind = LC_INTENT_APPLY, .declaration = n->declaration };
 
   lc__wire__numbered_declaration__init (m);
@@ -240,7 +240,7 @@
 static Lc__Wire__Evacuation *
 lc_codec__write_evacuation (LcArena *arena, const LcEvacuation *order)
 {
-  Lc__Wire__Evacuation *m = lc_codec__new (arena, 1, sizeof *m);
+  Lc__Wire__Evacuation *m = lc_codec__alloc (arena, 1, sizeof *m);
 
   lc__wire__evacuation__init (m);
   m->data_centre = (char *)order->data_centre;
@@ -343,11 +343,11 @@
 
   memset (command, 0, sizeof *command);
   if (m == NULL)
-    return lc_codec__malformed (error, "a command");
+    return lc_codec__set_malformed (error, "a command");
   ok = lc_codec__read_command (command, m);
   lc__wire__command__free_unpacked (m, NULL);
   if (ok)
     return 0;
   lc_control_command_finish (command);
-  return lc_codec__malformed (error, "a command");
+  return lc_codec__set_malformed (error, "a command");
 }
--- a/src/control/lc-control-http-status.c
+++ b/src/control/lc-control-http-status.c
@@ -6,7 +6,7 @@
 /* === private: status ======================================================================== */
 
 static json_t *
-lc_control_http__member (const LcReplica *replica, const LcRaftMember *m)
+lc_control_http__member_json (const LcReplica *replica, const LcRaftMember *m)
 {
   const LcRaftProgress *p = lc_raft_progress (&replica->raft, m->id);
   char address[32];
@@ -33,18 +33,18 @@
 }
 
 static json_t *
-lc_control_http__members (const LcReplica *replica)
+lc_control_http__members_json (const LcReplica *replica)
 {
   json_t *out = json_array ();
 
   for (uint32_t i = 0; i < replica->raft.config.n_members; i++)
     (void)json_array_append_new (
-        out, lc_control_http__member (replica, &replica->raft.config.members[i]));
+        out, lc_control_http__member_json (replica, &replica->raft.config.members[i]));
   return out;
 }
 
 static json_t *
-lc_control_http__dc (const LcControlState *state, const LcDcStatus *dc)
+lc_control_http__dc_json (const LcControlState *state, const LcDcStatus *dc)
 {
   const LcDataCentre *known = lc_view_dc (&state->view, dc->dc);
   json_t *one = json_object ();
@@ -69,7 +69,7 @@
 }
 
 static json_t *
-lc_control_http__dcs (const LcControlHttp *http)
+lc_control_http__dcs_json (const LcControlHttp *http)
 {
   const LcControlState *state = lc_replica_state (http->desc.replica);
   LcDcStatus dcs[LC_CONTROL_HTTP_DCS_MAX];
@@ -80,13 +80,13 @@
     n = lc_distributor_status (*http->desc.distributor, lc_clock_now_us (), dcs,
                                LC_CONTROL_HTTP_DCS_MAX);
   for (uint32_t i = 0; i < MIN (n, (uint32_t)LC_CONTROL_HTTP_DCS_MAX); i++)
-    (void)json_array_append_new (out, lc_control_http__dc (state, &dcs[i]));
+    (void)json_array_append_new (out, lc_control_http__dc_json (state, &dcs[i]));
   return out;
 }
 
 /* Losses that the guard holds because too many were reported at once. */
 static json_t *
-lc_control_http__guard (const LcControlHttp *http)
+lc_control_http__guard_json (const LcControlHttp *http)
 {
   LcLossGuardStatus guard = { 0 };
   json_t *out = json_object ();
@@ -102,12 +102,12 @@
 }
 
 void
-lc_control_http__status (LcControlHttp *http, h2o_req_t *req)
+lc_control_http__serve_status (LcControlHttp *http, h2o_req_t *req)
 {
   LcReplica *replica = http->desc.replica;
   const LcControlState *state = lc_replica_state (replica);
   const LcRaftMember *leader = lc_replica_leader (replica);
-  int64_t silence_us = lc_replica_silence_us (replica);
+  int64_t silence_us = lc_replica_leader_silence_us (replica);
   json_t *out = json_object ();
 
   (void)json_object_set_new (out, "name", json_string (http->desc.settings->name));
@@ -126,13 +126,13 @@
   (void)json_object_set_new (out, "term", json_integer ((json_int_t)replica->raft.term));
   (void)json_object_set_new (out, "commit_index",
                              json_integer ((json_int_t)replica->raft.commit_index));
-  (void)json_object_set_new (out, "members", lc_control_http__members (replica));
-  (void)json_object_set_new (out, "data_centres", lc_control_http__dcs (http));
-  (void)json_object_set_new (out, "guard", lc_control_http__guard (http));
+  (void)json_object_set_new (out, "members", lc_control_http__members_json (replica));
+  (void)json_object_set_new (out, "data_centres", lc_control_http__dcs_json (http));
+  (void)json_object_set_new (out, "guard", lc_control_http__guard_json (http));
   (void)json_object_set_new (out, "services", lc_control_json_services (state));
   (void)json_object_set_new (out, "endpoints",
                              lc_control_json_endpoints (state, LC_CONTROL_HTTP_ENDPOINTS_MAX));
   (void)json_object_set_new (out, "balancers", lc_control_json_balancers (state));
-  (void)json_object_set_new (out, "work", lc_control_json_work (state));
+  (void)json_object_set_new (out, "work", lc_control_json_unfinished_plans (state));
   lc_control_http__send (req, 200, out);
 }
--- a/src/control/lc-control-http.c
+++ b/src/control/lc-control-http.c
@@ -19,14 +19,14 @@
 typedef struct
 {
   struct LcControlWait *wait; /* NULL: answered */
-} LcControlSlot;
+} LcControlWaitRef;
 
 /* A request whose command is not applied yet. */
 typedef struct LcControlWait
 {
   LcControlHttp *http;
-  h2o_req_t *req;     /* NULL: the client is gone */
-  LcControlSlot *ref; /* valid while `req` is set */
+  h2o_req_t *req;        /* NULL: the client is gone */
+  LcControlWaitRef *ref; /* valid while `req` is set */
   LcControlCommand command;
   int64_t deadline_us;
   int64_t resend_us;
@@ -46,10 +46,10 @@
 }
 
 static void
-lc_control_http__answer (LcControlHttp *http,
-                         h2o_req_t *req,
-                         const LcControlCommand *command,
-                         const LcControlAnswer *answer)
+lc_control_http__send_answer (LcControlHttp *http,
+                              h2o_req_t *req,
+                              const LcControlCommand *command,
+                              const LcControlAnswer *answer)
 {
   const LcControlState *state = lc_replica_state (http->desc.replica);
   const LcPlan *plan = lc_control_state_plan (state, answer->plan_id);
@@ -69,12 +69,12 @@
   if (command->kind != LC_COMMAND_PLAN)
     (void)json_object_set_new (body, "revision", json_integer ((json_int_t)answer->revision));
   if (command->kind == LC_COMMAND_EVACUATE)
-    (void)json_object_set_new (body, "services", lc_control_json_left (state));
+    (void)json_object_set_new (body, "services", lc_control_json_capacity (state));
   lc_control_http__send (req, 200, body);
 }
 
 void
-lc_control_http__fail (LcControlHttp *http, h2o_req_t *req, const LcError *error)
+lc_control_http__send_error (LcControlHttp *http, h2o_req_t *req, const LcError *error)
 {
   lc_metric_add (http->refused_total, 1);
   lc_http_answer_error (req, error);
@@ -96,7 +96,7 @@
 /* === private: waiting for a command to be applied =========================================== */
 
 static void
-lc_control_http__end_wait (LcControlHttp *http, LcControlWait *wait)
+lc_control_http__remove_wait (LcControlHttp *http, LcControlWait *wait)
 {
   if (wait->req != NULL)
     wait->ref->wait = NULL;
@@ -105,9 +105,9 @@
 
 /* The client left: its command continues, and a resent request finds the answer. */
 static void
-lc_control_http__on_gone (void *memory)
+lc_control_http__on_disposed (void *memory)
 {
-  LcControlSlot *ref = memory;
+  LcControlWaitRef *ref = memory;
 
   if (ref->wait != NULL)
     ref->wait->req = NULL;
@@ -115,7 +115,7 @@
 
 /* A numbered declaration is answered once this number or a higher one is applied here. */
 static bool
-lc_control_http__try_numbered (LcControlHttp *http, LcControlWait *wait)
+lc_control_http__try_answer_numbered (LcControlHttp *http, LcControlWait *wait)
 {
   const LcControlState *state = lc_replica_state (http->desc.replica);
   json_t *body;
@@ -142,16 +142,16 @@
   LcError error = { 0 };
 
   if (wait->command.kind == LC_COMMAND_NUMBERED)
-    return lc_control_http__try_numbered (http, wait);
+    return lc_control_http__try_answer_numbered (http, wait);
   if (answer == NULL)
     return false;
   if (wait->req != NULL && lc_control_answer_matches (answer, &wait->command))
-    lc_control_http__answer (http, wait->req, &wait->command, answer);
+    lc_control_http__send_answer (http, wait->req, &wait->command, answer);
   else if (wait->req != NULL)
     {
       (void)lc_error_set (&error, LC_ERR_INVALID, "make a new request id for each new request",
                           "request id %s was used for another request", wait->command.request_id);
-      lc_control_http__fail (http, wait->req, &error);
+      lc_control_http__send_error (http, wait->req, &error);
     }
   return true;
 }
@@ -168,7 +168,7 @@
                       "send it again with the same request id, to this or another control VM: it "
                       "takes effect at most once",
                       "request %s is not committed yet; it may still be", wait->command.request_id);
-  lc_control_http__fail (http, wait->req, &error);
+  lc_control_http__send_error (http, wait->req, &error);
 }
 
 static void
@@ -181,14 +181,14 @@
 }
 
 void
-lc_control_http_applied (LcControlHttp *http)
+lc_control_http_answer_applied (LcControlHttp *http)
 {
   for (guint i = http->waiting->len; i > 0; i--)
     {
       LcControlWait *wait = g_ptr_array_index (http->waiting, i - 1);
 
       if (lc_control_http__try_answer (http, wait))
-        lc_control_http__end_wait (http, wait);
+        lc_control_http__remove_wait (http, wait);
     }
 }
 
@@ -205,10 +205,10 @@
       if (now_us >= wait->deadline_us)
         {
           lc_control_http__time_out (http, wait);
-          lc_control_http__end_wait (http, wait);
+          lc_control_http__remove_wait (http, wait);
         }
       else if (wait->req == NULL && wait->command.kind == LC_COMMAND_EVACUATE)
-        lc_control_http__end_wait (http, wait); /* resending is up to its operator */
+        lc_control_http__remove_wait (http, wait); /* resending is up to its operator */
       else if (now_us >= wait->resend_us)
         {
           /* Applied twice, the second time has no effect: the first answer exists. */
@@ -220,7 +220,7 @@
 }
 
 int
-lc_control_http__check_room (const LcControlHttp *http, LcErrorCode code, LcError *error)
+lc_control_http__check_queue (const LcControlHttp *http, LcErrorCode code, LcError *error)
 {
   if (http->waiting->len < LC_CONTROL_HTTP_WAITING_MAX)
     return 0;
@@ -229,10 +229,11 @@
 }
 
 void
-lc_control_http__wait (LcControlHttp *http, h2o_req_t *req, LcControlCommand *command)
+lc_control_http__submit (LcControlHttp *http, h2o_req_t *req, LcControlCommand *command)
 {
   LcControlWait *wait = g_new0 (LcControlWait, 1);
-  LcControlSlot *ref = h2o_mem_alloc_shared (&req->pool, sizeof *ref, lc_control_http__on_gone);
+  LcControlWaitRef *ref =
+      h2o_mem_alloc_shared (&req->pool, sizeof *ref, lc_control_http__on_disposed);
   int64_t now_us = lc_clock_now_us ();
 
   wait->http = http;
@@ -245,7 +246,7 @@
   g_ptr_array_add (http->waiting, wait);
   if (lc_control_http__try_answer (http, wait))
     {
-      lc_control_http__end_wait (http, wait);
+      lc_control_http__remove_wait (http, wait);
       return;
     }
   /* Without a leader each tick tries again, until the deadline. */
@@ -268,7 +269,7 @@
 }
 
 static void
-lc_control_http__command (LcControlHttp *http, h2o_req_t *req, bool is_plan)
+lc_control_http__serve_command (LcControlHttp *http, h2o_req_t *req, bool is_plan)
 {
   LcControlCommand command;
   LcError error = { 0 };
@@ -277,16 +278,16 @@
               : lc_control_json_read_confirm (&command, req->entity.base, req->entity.len, &error);
 
   if (r == 0)
-    r = lc_control_http__check_room (http, LC_ERR_FULL, &error);
+    r = lc_control_http__check_queue (http, LC_ERR_FULL, &error);
   if (r == 0)
     r = lc_control_http__check_member (http, &command, &error);
   if (r < 0)
     {
-      lc_control_http__fail (http, req, &error);
+      lc_control_http__send_error (http, req, &error);
       return;
     }
   command.wall_us = lc_clock_wall_us ();
-  lc_control_http__wait (http, req, &command);
+  lc_control_http__submit (http, req, &command);
 }
 
 /* === private: evacuations =================================================================== */
@@ -302,40 +303,42 @@
 
 /* Proposes an order, with the revision of the last one for its data centre that this VM applied. */
 static void
-lc_control_http__evacuate (LcControlHttp *http, h2o_req_t *req, LcControlCommand *command)
+lc_control_http__submit_evacuation (LcControlHttp *http, h2o_req_t *req, LcControlCommand *command)
 {
   const LcControlState *state = lc_replica_state (http->desc.replica);
   const LcDataCentre *dc = lc_view_dc_by_name (&state->view, command->evacuation.data_centre);
   LcError error = { 0 };
 
-  if (lc_control_http__check_room (http, LC_ERR_UNAVAILABLE, &error) < 0)
+  if (lc_control_http__check_queue (http, LC_ERR_UNAVAILABLE, &error) < 0)
     {
       lc_control_http__log_evacuation (command, "refused: too many wait");
-      lc_control_http__fail (http, req, &error);
+      lc_control_http__send_error (http, req, &error);
       return;
     }
   command->kind = LC_COMMAND_EVACUATE;
   command->evacuation.seen_revision = dc != NULL ? dc->evacuation_revision : 0;
   command->wall_us = lc_clock_wall_us ();
   lc_control_http__log_evacuation (command, "handed over");
-  lc_control_http__wait (http, req, command);
+  lc_control_http__submit (http, req, command);
 }
 
 static void
-lc_control_http__evacuate_by_json (LcControlHttp *http, h2o_req_t *req)
+lc_control_http__serve_evacuate (LcControlHttp *http, h2o_req_t *req)
 {
   LcControlCommand command;
   LcError error = { 0 };
 
   if (lc_control_json_read_evacuation (&command, req->entity.base, req->entity.len, &error) < 0)
-    lc_control_http__fail (http, req, &error);
+    lc_control_http__send_error (http, req, &error);
   else
-    lc_control_http__evacuate (http, req, &command);
+    lc_control_http__submit_evacuation (http, req, &command);
 }
 
 /* The platform's orders have no request id: one that is resent is a new order. */
 static void
-lc_control_http__evacuate_by_path (LcControlHttp *http, h2o_req_t *req, const LcPlatformCall *call)
+lc_control_http__serve_platform_evacuate (LcControlHttp *http,
+                                          h2o_req_t *req,
+                                          const LcPlatformCall *call)
 {
   LcControlCommand command = { .kind = LC_COMMAND_EVACUATE };
   LcError error = { 0 };
@@ -343,22 +346,22 @@
   if (lc_platform_evacuation_read (&command.evacuation, call, &error) < 0)
     {
       LC_INFO ("evacuation.refused", "message", LC_STR (error.message));
-      lc_control_http__fail (http, req, &error);
+      lc_control_http__send_error (http, req, &error);
       return;
     }
   (void)g_snprintf (command.request_id, sizeof command.request_id, "order-%08x%08x%08x",
                     g_random_int (), g_random_int (), g_random_int ());
   (void)g_strlcpy (command.who, "operator", sizeof command.who);
-  lc_control_http__evacuate (http, req, &command);
+  lc_control_http__submit_evacuation (http, req, &command);
 }
 
 /* === private: calls of the platform ========================================================= */
 
 /* A VM in no cluster redirects the caller to a member. */
 static void
-lc_control_http__pass_on (LcControlHttp *http, h2o_req_t *req)
+lc_control_http__redirect_to_member (LcControlHttp *http, h2o_req_t *req)
 {
-  const LcReplicaPeer *peer = lc_replica_route (http->desc.replica);
+  const LcReplicaPeer *peer = lc_replica_redirect_target (http->desc.replica);
   LcError error = { 0 };
 
   if (peer != NULL)
@@ -368,36 +371,36 @@
     }
   (void)lc_error_set (&error, LC_ERR_UNAVAILABLE, "ask again in a second, or another control VM",
                       "this control VM belongs to no cluster and knows none");
-  lc_control_http__fail (http, req, &error);
+  lc_control_http__send_error (http, req, &error);
 }
 
 /* False: it is no call of the platform. */
 static bool
-lc_control_http__platform (LcControlHttp *http, h2o_req_t *req)
+lc_control_http__serve_platform (LcControlHttp *http, h2o_req_t *req)
 {
   LcPlatformCall call = { req->method.base,         req->method.len,  req->path_normalized.base,
                           req->path_normalized.len, req->entity.base, req->entity.len };
 
-  LcPlatformDeclarationCall kind = lc_platform_declaration_call (&call);
-  bool is_evacuation = lc_platform_evacuation_is (&call);
+  LcPlatformDeclarationCall kind = lc_platform_declaration_classify (&call);
+  bool is_evacuation = lc_platform_evacuation_is_call (&call);
 
   if ((kind != LC_PLATFORM_OTHER || is_evacuation) && !http->desc.replica->is_formed)
     {
-      lc_control_http__pass_on (http, req);
+      lc_control_http__redirect_to_member (http, req);
       return true;
     }
   if (is_evacuation)
     {
-      lc_control_http__evacuate_by_path (http, req, &call);
+      lc_control_http__serve_platform_evacuate (http, req, &call);
       return true;
     }
   switch (kind)
     {
     case LC_PLATFORM_DECLARE:
-      lc_control_http__declare (http, req);
+      lc_control_http__serve_declare (http, req);
       return true;
     case LC_PLATFORM_SHOW:
-      lc_control_http__show_declaration (http, req);
+      lc_control_http__serve_declaration (http, req);
       return true;
     case LC_PLATFORM_OTHER:
       break;
@@ -409,7 +412,7 @@
 
 /* The number after `key`, such as "max=", in the query, or `fallback`. */
 static uint64_t
-lc_control_http__query (const h2o_req_t *req, const char *key, uint64_t fallback)
+lc_control_http__query_number (const h2o_req_t *req, const char *key, uint64_t fallback)
 {
   char *query;
   const char *at;
@@ -426,10 +429,10 @@
 }
 
 static void
-lc_control_http__history (LcControlHttp *http, h2o_req_t *req)
+lc_control_http__serve_history (LcControlHttp *http, h2o_req_t *req)
 {
   const LcControlState *state = lc_replica_state (http->desc.replica);
-  uint64_t max = lc_control_http__query (req, "max=", 100);
+  uint64_t max = lc_control_http__query_number (req, "max=", 100);
   json_t *out = json_object ();
 
   (void)json_object_set_new (out, "name", json_string (http->desc.settings->name));
@@ -437,13 +440,13 @@
                              json_boolean (lc_replica_can_read (http->desc.replica)));
   (void)json_object_set_new (
       out, "history",
-      lc_control_json_history (state, lc_control_http__query (req, "after=", 0),
+      lc_control_json_history (state, lc_control_http__query_number (req, "after=", 0),
                                (uint32_t)MIN (max, (uint64_t)LC_CONTROL_HTTP_HISTORY_MAX)));
   lc_control_http__send (req, 200, out);
 }
 
 static void
-lc_control_http__plan (LcControlHttp *http, h2o_req_t *req, const char *digits)
+lc_control_http__serve_plan (LcControlHttp *http, h2o_req_t *req, const char *digits)
 {
   const LcControlState *state = lc_replica_state (http->desc.replica);
   const LcPlan *plan = lc_control_state_plan (state, g_ascii_strtoull (digits, NULL, 10));
@@ -456,13 +459,13 @@
     }
   (void)lc_error_set (&error, LC_ERR_NOT_FOUND, "look at `lychee history`",
                       "there is no plan %.20s here", digits);
-  lc_control_http__fail (http, req, &error);
+  lc_control_http__send_error (http, req, &error);
 }
 
 /* === private: routing ======================================================================= */
 
 static bool
-lc_control_http__is (const h2o_req_t *req, const char *method, const char *path)
+lc_control_http__matches (const h2o_req_t *req, const char *method, const char *path)
 {
   return h2o_memis (req->method.base, req->method.len, method, strlen (method)) &&
          h2o_memis (req->path_normalized.base, req->path_normalized.len, path, strlen (path));
@@ -485,24 +488,24 @@
   char digits[24];
 
   lc_metric_add (http->requests_total, 1);
-  if (lc_control_http__is (req, "POST", "/v1/plan"))
-    lc_control_http__command (http, req, true);
-  else if (lc_control_http__is (req, "POST", "/v1/confirm"))
-    lc_control_http__command (http, req, false);
-  else if (lc_control_http__is (req, "POST", "/v1/evacuate"))
-    lc_control_http__evacuate_by_json (http, req);
-  else if (lc_control_http__is (req, "GET", "/v1/status"))
-    lc_control_http__status (http, req);
-  else if (lc_control_http__is (req, "GET", "/v1/history"))
-    lc_control_http__history (http, req);
+  if (lc_control_http__matches (req, "POST", "/v1/plan"))
+    lc_control_http__serve_command (http, req, true);
+  else if (lc_control_http__matches (req, "POST", "/v1/confirm"))
+    lc_control_http__serve_command (http, req, false);
+  else if (lc_control_http__matches (req, "POST", "/v1/evacuate"))
+    lc_control_http__serve_evacuate (http, req);
+  else if (lc_control_http__matches (req, "GET", "/v1/status"))
+    lc_control_http__serve_status (http, req);
+  else if (lc_control_http__matches (req, "GET", "/v1/history"))
+    lc_control_http__serve_history (http, req);
   else if (lc_control_http__has_prefix (req, "GET", PLANS))
     {
       (void)g_snprintf (digits, sizeof digits, "%.*s",
                         (int)(req->path_normalized.len - (sizeof PLANS - 1)),
                         req->path_normalized.base + sizeof PLANS - 1);
-      lc_control_http__plan (http, req, digits);
+      lc_control_http__serve_plan (http, req, digits);
     }
-  else if (!lc_control_http__platform (http, req))
+  else if (!lc_control_http__serve_platform (http, req))
     return -1;
   return 0;
 }
--- a/src/control/lc-control-json-write.c
+++ b/src/control/lc-control-json-write.c
@@ -12,7 +12,7 @@
 }
 
 static json_t *
-lc_json__lines (const char *text)
+lc_json__split_lines (const char *text)
 {
   json_t *lines = json_array ();
   gchar **parts = g_strsplit (text, "\n", -1);
@@ -37,8 +37,8 @@
   (void)json_object_set_new (out, "base_revision", lc_json__u64 (plan->base_revision));
   (void)json_object_set_new (out, "revision", lc_json__u64 (plan->confirmed_revision));
   (void)json_object_set_new (out, "changes", json_integer (plan->n_changes));
-  (void)json_object_set_new (out, "steps", lc_json__lines (plan->steps));
-  (void)json_object_set_new (out, "breaks", lc_json__lines (plan->breaks));
+  (void)json_object_set_new (out, "steps", lc_json__split_lines (plan->steps));
+  (void)json_object_set_new (out, "breaks", lc_json__split_lines (plan->breaks));
   (void)json_object_set_new (out, "endpoints_moved", json_integer (plan->n_moved));
   (void)json_object_set_new (out, "no_new_work_within_s", json_integer (plan->settle_s));
   (void)json_object_set_new (out, "waits_for_flows", json_boolean (plan->waits_for_flows));
@@ -108,7 +108,7 @@
 }
 
 json_t *
-lc_control_json_left (const LcControlState *state)
+lc_control_json_capacity (const LcControlState *state)
 {
   json_t *out = json_array ();
   GPtrArray *services = lc_control_state_services (state);
@@ -199,7 +199,7 @@
 }
 
 json_t *
-lc_control_json_work (const LcControlState *state)
+lc_control_json_unfinished_plans (const LcControlState *state)
 {
   json_t *out = json_array ();
 
--- a/src/control/lc-control-json.c
+++ b/src/control/lc-control-json.c
@@ -7,7 +7,7 @@
 /* === private: reading fields ================================================================ */
 
 static int
-lc_json__wrong (const char *path, const char *expected, LcError *error)
+lc_json__set_expected (const char *path, const char *expected, LcError *error)
 {
   return lc_error_set (error, LC_ERR_INVALID, "see docs/operating/declarations.md for the fields",
                        "%s must be %s", path, expected);
@@ -15,13 +15,16 @@
 
 /* Refuses unknown fields: a misspelt limit must not be ignored silently. */
 static int
-lc_json__only (const json_t *object, const char *path, const char *const *known, LcError *error)
+lc_json__check_fields (const json_t *object,
+                       const char *path,
+                       const char *const *known,
+                       LcError *error)
 {
   const char *key;
   json_t *value;
 
   if (!json_is_object (object))
-    return lc_json__wrong (path, "an object", error);
+    return lc_json__set_expected (path, "an object", error);
   json_object_foreach ((json_t *)object, key, value)
   {
     bool is_known = false;
@@ -36,13 +39,13 @@
 }
 
 static int
-lc_json__string (const json_t *object,
-                 const char *key,
-                 const char *path,
-                 bool is_required,
-                 char *out,
-                 size_t size,
-                 LcError *error)
+lc_json__read_string (const json_t *object,
+                      const char *key,
+                      const char *path,
+                      bool is_required,
+                      char *out,
+                      size_t size,
+                      LcError *error)
 {
   const json_t *value = json_object_get (object, key);
   char where[LC_PATH_MAX];
@@ -53,18 +56,18 @@
     return 0;
   if (!json_is_string (value) || json_string_length (value) >= size ||
       strlen (json_string_value (value)) != json_string_length (value))
-    return lc_json__wrong (where, "a string that is not too long", error);
+    return lc_json__set_expected (where, "a string that is not too long", error);
   (void)g_strlcpy (out, json_string_value (value), size);
   return 0;
 }
 
 static int
-lc_json__u32 (const json_t *object,
-              const char *key,
-              const char *path,
-              uint32_t *out,
-              bool *is_there,
-              LcError *error)
+lc_json__read_u32 (const json_t *object,
+                   const char *key,
+                   const char *path,
+                   uint32_t *out,
+                   bool *is_there,
+                   LcError *error)
 {
   const json_t *value = json_object_get (object, key);
   char where[LC_PATH_MAX];
@@ -75,13 +78,13 @@
   (void)g_snprintf (where, sizeof where, "%s.%s", path, key);
   if (!json_is_integer (value) || json_integer_value (value) < 0 ||
       json_integer_value (value) > UINT32_MAX)
-    return lc_json__wrong (where, "a whole number", error);
+    return lc_json__set_expected (where, "a whole number", error);
   *out = (uint32_t)json_integer_value (value);
   return 0;
 }
 
 static int
-lc_json__array (
+lc_json__read_array (
     const json_t *object, const char *key, const char *path, const json_t **array, LcError *error)
 {
   char where[LC_PATH_MAX];
@@ -91,7 +94,7 @@
   if (*array == NULL)
     return 0;
   if (!json_is_array (*array) || json_array_size (*array) > LC_DECLARATION_MAX)
-    return lc_json__wrong (where, "a list of at most 1024", error);
+    return lc_json__set_expected (where, "a list of at most 1024", error);
   return 0;
 }
 
@@ -99,7 +102,10 @@
 
 /* "a.b.c.d:port/udp" */
 static int
-lc_json__place (const json_t *value, const char *path, LcDeclaredAddress *address, LcError *error)
+lc_json__read_socket_address (const json_t *value,
+                              const char *path,
+                              LcDeclaredAddress *address,
+                              LcError *error)
 {
   const char *text = json_string_value (value);
   const char *slash = text != NULL ? strrchr (text, '/') : NULL;
@@ -108,12 +114,12 @@
   int r;
 
   if (slash == NULL || (strcmp (slash, "/udp") != 0 && strcmp (slash, "/tcp") != 0))
-    return lc_json__wrong (path, "\"a.b.c.d:port/udp\" or \"a.b.c.d:port/tcp\"", error);
+    return lc_json__set_expected (path, "\"a.b.c.d:port/udp\" or \"a.b.c.d:port/tcp\"", error);
   host = g_strndup (text, (gsize)(slash - text));
   r = lc_settings_parse_address (host, &socket);
   g_free (host);
   if (r < 0)
-    return lc_json__wrong (path, "\"a.b.c.d:port/udp\" or \"a.b.c.d:port/tcp\"", error);
+    return lc_json__set_expected (path, "\"a.b.c.d:port/udp\" or \"a.b.c.d:port/tcp\"", error);
   address->ipv4 = socket.ipv4;
   address->port = socket.port;
   address->protocol = strcmp (slash, "/udp") == 0 ? LC_PROTOCOL_UDP : LC_PROTOCOL_TCP;
@@ -121,13 +127,13 @@
 }
 
 static int
-lc_json__homes (const json_t *object,
-                const char *path,
-                char homes[LC_HOME_REGIONS_BYTES],
-                LcError *error)
+lc_json__read_homes (const json_t *object,
+                     const char *path,
+                     char homes[LC_HOME_REGIONS_BYTES],
+                     LcError *error)
 {
   const json_t *array;
-  int r = lc_json__array (object, "homes", path, &array, error);
+  int r = lc_json__read_array (object, "homes", path, &array, error);
 
   for (size_t i = 0; i < json_array_size (array) && r == 0; i++)
     {
@@ -140,24 +146,30 @@
 
 /* A string, or an object that also has the home regions, which alone get its new flows. */
 static int
-lc_json__address (const json_t *value, const char *path, LcDeclaredAddress *address, LcError *error)
+lc_json__read_address (const json_t *value,
+                       const char *path,
+                       LcDeclaredAddress *address,
+                       LcError *error)
 {
   static const char *const KNOWN[] = { "address", "homes", NULL };
   int r;
 
   if (!json_is_object (value))
-    return lc_json__place (value, path, address, error);
-  r = lc_json__only (value, path, KNOWN, error);
+    return lc_json__read_socket_address (value, path, address, error);
+  r = lc_json__check_fields (value, path, KNOWN, error);
   if (r == 0)
-    r = lc_json__place (json_object_get (value, "address"), path, address, error);
-  return r < 0 ? r : lc_json__homes (value, path, address->homes, error);
+    r = lc_json__read_socket_address (json_object_get (value, "address"), path, address, error);
+  return r < 0 ? r : lc_json__read_homes (value, path, address->homes, error);
 }
 
 static int
-lc_json__addresses (const json_t *object, const char *path, LcDeclaredService *s, LcError *error)
+lc_json__read_addresses (const json_t *object,
+                         const char *path,
+                         LcDeclaredService *s,
+                         LcError *error)
 {
   const json_t *array;
-  int r = lc_json__array (object, "addresses", path, &array, error);
+  int r = lc_json__read_array (object, "addresses", path, &array, error);
 
   if (r < 0 || array == NULL)
     return r;
@@ -169,17 +181,17 @@
       char where[LC_PATH_MAX];
 
       (void)g_snprintf (where, sizeof where, "%s.addresses[%u]", path, i);
-      r = lc_json__address (json_array_get (array, i), where, &s->addresses[i], error);
+      r = lc_json__read_address (json_array_get (array, i), where, &s->addresses[i], error);
     }
   return r;
 }
 
 static int
-lc_json__routes (const json_t *object, const char *path, LcDeclaredService *s, LcError *error)
+lc_json__read_routes (const json_t *object, const char *path, LcDeclaredService *s, LcError *error)
 {
   static const char *const KNOWN[] = { "host", "path_prefix", NULL };
   const json_t *array;
-  int r = lc_json__array (object, "routes", path, &array, error);
+  int r = lc_json__read_array (object, "routes", path, &array, error);
 
   if (r < 0 || array == NULL)
     return r;
@@ -192,18 +204,22 @@
       char where[LC_PATH_MAX];
 
       (void)g_snprintf (where, sizeof where, "%s.routes[%u]", path, i);
-      r = lc_json__only (route, where, KNOWN, error);
+      r = lc_json__check_fields (route, where, KNOWN, error);
       if (r == 0)
-        r = lc_json__string (route, "host", where, false, s->routes[i].host, LC_PATH_MAX, error);
+        r = lc_json__read_string (route, "host", where, false, s->routes[i].host, LC_PATH_MAX,
+                                  error);
       if (r == 0)
-        r = lc_json__string (route, "path_prefix", where, true, s->routes[i].path_prefix,
-                             LC_PATH_MAX, error);
+        r = lc_json__read_string (route, "path_prefix", where, true, s->routes[i].path_prefix,
+                                  LC_PATH_MAX, error);
     }
   return r;
 }
 
 static int
-lc_json__cold_rate (const json_t *limits, const char *path, LcDeclaredService *s, LcError *error)
+lc_json__read_cold_rate (const json_t *limits,
+                         const char *path,
+                         LcDeclaredService *s,
+                         LcError *error)
 {
   const json_t *rate = json_object_get (limits, "cold_requests_per_s");
   char where[LC_PATH_MAX];
@@ -212,13 +228,13 @@
     return 0;
   (void)g_snprintf (where, sizeof where, "%s.cold_requests_per_s", path);
   if (!lc_intent_cold_rate (json_number_value (rate), &s->cold_rate_mrps) || !json_is_number (rate))
-    return lc_json__wrong (where, "a number from 0 to 1000000", error);
+    return lc_json__set_expected (where, "a number from 0 to 1000000", error);
   s->fields |= LC_DECLARED_COLD_RATE;
   return 0;
 }
 
 static int
-lc_json__limits (const json_t *object, const char *path, LcDeclaredService *s, LcError *error)
+lc_json__read_limits (const json_t *object, const char *path, LcDeclaredService *s, LcError *error)
 {
   static const char *const KNOWN[] = { "request_timeout_ms", "caller_limit", "retry_percent",
                                        "cold_requests_per_s", NULL };
@@ -228,23 +244,27 @@
 
   if (limits == NULL)
     return 0;
-  r = lc_json__only (limits, path, KNOWN, error);
+  r = lc_json__check_fields (limits, path, KNOWN, error);
   if (r == 0)
-    r = lc_json__u32 (limits, "request_timeout_ms", path, &s->request_timeout_ms, &is_there, error);
+    r = lc_json__read_u32 (limits, "request_timeout_ms", path, &s->request_timeout_ms, &is_there,
+                           error);
   s->fields |= r == 0 && is_there ? LC_DECLARED_REQUEST_TIMEOUT : 0U;
   if (r == 0)
-    r = lc_json__u32 (limits, "caller_limit", path, &s->caller_limit, &is_there, error);
+    r = lc_json__read_u32 (limits, "caller_limit", path, &s->caller_limit, &is_there, error);
   s->fields |= r == 0 && is_there ? LC_DECLARED_CALLER_LIMIT : 0U;
   if (r == 0)
-    r = lc_json__u32 (limits, "retry_percent", path, &s->retry_percent, &is_there, error);
+    r = lc_json__read_u32 (limits, "retry_percent", path, &s->retry_percent, &is_there, error);
   s->fields |= r == 0 && is_there ? LC_DECLARED_RETRY_PERCENT : 0U;
   if (r == 0)
-    r = lc_json__cold_rate (limits, path, s, error);
+    r = lc_json__read_cold_rate (limits, path, s, error);
   return r;
 }
 
 static int
-lc_json__objectives (const json_t *object, const char *path, LcDeclaredService *s, LcError *error)
+lc_json__read_objectives (const json_t *object,
+                          const char *path,
+                          LcDeclaredService *s,
+                          LcError *error)
 {
   static const char *const KNOWN[] = { "good_ppm", "latency_ms", NULL };
   const json_t *objectives = json_object_get (object, "objectives");
@@ -253,18 +273,19 @@
 
   if (objectives == NULL)
     return 0;
-  r = lc_json__only (objectives, path, KNOWN, error);
+  r = lc_json__check_fields (objectives, path, KNOWN, error);
   if (r == 0)
-    r = lc_json__u32 (objectives, "good_ppm", path, &s->objective_ppm, &is_there, error);
+    r = lc_json__read_u32 (objectives, "good_ppm", path, &s->objective_ppm, &is_there, error);
   s->fields |= r == 0 && is_there ? LC_DECLARED_OBJECTIVE_PPM : 0U;
   if (r == 0)
-    r = lc_json__u32 (objectives, "latency_ms", path, &s->objective_latency_ms, &is_there, error);
+    r = lc_json__read_u32 (objectives, "latency_ms", path, &s->objective_latency_ms, &is_there,
+                           error);
   s->fields |= r == 0 && is_there ? LC_DECLARED_OBJECTIVE_LATENCY : 0U;
   return r;
 }
 
 static int
-lc_json__service (const json_t *object, uint32_t index, LcDeclaredService *s, LcError *error)
+lc_json__read_service (const json_t *object, uint32_t index, LcDeclaredService *s, LcError *error)
 {
   static const char *const KNOWN[] = { "name",       "addresses",       "routes", "limits",
                                        "objectives", "returns_packets", NULL };
@@ -273,29 +294,29 @@
   int r;
 
   (void)g_snprintf (path, sizeof path, "$.services[%u]", index);
-  r = lc_json__only (object, path, KNOWN, error);
+  r = lc_json__check_fields (object, path, KNOWN, error);
   if (r == 0)
-    r = lc_json__string (object, "name", path, true, s->name, sizeof s->name, error);
+    r = lc_json__read_string (object, "name", path, true, s->name, sizeof s->name, error);
   if (r == 0)
-    r = lc_json__limits (object, path, s, error);
+    r = lc_json__read_limits (object, path, s, error);
   if (r == 0)
-    r = lc_json__objectives (object, path, s, error);
+    r = lc_json__read_objectives (object, path, s, error);
   if (r == 0 && returns != NULL && !json_is_boolean (returns))
     r = lc_error_set (error, LC_ERR_INVALID, "write true or false",
                       "%s.returns_packets is neither true nor false", path);
   s->fields |= returns != NULL ? LC_DECLARED_RETURNS_PACKETS : 0U;
   s->returns_packets = json_is_true (returns);
   if (r == 0)
-    r = lc_json__addresses (object, path, s, error);
-  return r < 0 ? r : lc_json__routes (object, path, s, error);
+    r = lc_json__read_addresses (object, path, s, error);
+  return r < 0 ? r : lc_json__read_routes (object, path, s, error);
 }
 
 static int
-lc_json__dcs (const json_t *object, LcDeclaration *d, LcError *error)
+lc_json__read_dcs (const json_t *object, LcDeclaration *d, LcError *error)
 {
   static const char *const KNOWN[] = { "name", "region", NULL };
   const json_t *array;
-  int r = lc_json__array (object, "data_centres", "$", &array, error);
+  int r = lc_json__read_array (object, "data_centres", "$", &array, error);
 
   if (r < 0 || array == NULL)
     return r;
@@ -307,55 +328,55 @@
       char path[LC_PATH_MAX];
 
       (void)g_snprintf (path, sizeof path, "$.data_centres[%u]", i);
-      r = lc_json__only (dc, path, KNOWN, error);
+      r = lc_json__check_fields (dc, path, KNOWN, error);
       if (r == 0)
-        r = lc_json__string (dc, "name", path, true, d->dcs[i].name, LC_NAME_MAX, error);
+        r = lc_json__read_string (dc, "name", path, true, d->dcs[i].name, LC_NAME_MAX, error);
       if (r == 0)
-        r = lc_json__string (dc, "region", path, false, d->dcs[i].region, LC_NAME_MAX, error);
+        r = lc_json__read_string (dc, "region", path, false, d->dcs[i].region, LC_NAME_MAX, error);
     }
   return r;
 }
 
 static int
-lc_json__declaration (const json_t *object, LcDeclaration *d, LcError *error)
+lc_json__read_declaration (const json_t *object, LcDeclaration *d, LcError *error)
 {
   static const char *const KNOWN[] = { "data_centres", "services", NULL };
   const json_t *array = NULL;
-  int r = lc_json__only (object, "$", KNOWN, error);
+  int r = lc_json__check_fields (object, "$", KNOWN, error);
 
   if (r == 0)
-    r = lc_json__dcs (object, d, error);
+    r = lc_json__read_dcs (object, d, error);
   if (r == 0)
-    r = lc_json__array (object, "services", "$", &array, error);
+    r = lc_json__read_array (object, "services", "$", &array, error);
   if (r < 0 || array == NULL)
     return r;
   d->n_services = (uint32_t)json_array_size (array);
   d->services = g_new0 (LcDeclaredService, MAX (d->n_services, 1));
   for (uint32_t i = 0; i < d->n_services && r == 0; i++)
-    r = lc_json__service (json_array_get (array, i), i, &d->services[i], error);
+    r = lc_json__read_service (json_array_get (array, i), i, &d->services[i], error);
   return r;
 }
 
 /* === private: requests ====================================================================== */
 
 static int
-lc_json__replacement (const json_t *object, LcControlAddress *out, LcError *error)
+lc_json__read_replacement (const json_t *object, LcControlAddress *out, LcError *error)
 {
   static const char *const KNOWN[] = { "name", "address", "http_port", NULL };
   LcSocketAddress address = { 0 };
   uint32_t http_port = 0;
   bool is_there = false;
   char text[LC_NAME_MAX];
-  int r = lc_json__only (object, "with", KNOWN, error);
+  int r = lc_json__check_fields (object, "with", KNOWN, error);
 
   if (r == 0)
-    r = lc_json__string (object, "name", "with", true, out->name, sizeof out->name, error);
+    r = lc_json__read_string (object, "name", "with", true, out->name, sizeof out->name, error);
   if (r == 0)
-    r = lc_json__string (object, "address", "with", true, text, sizeof text, error);
+    r = lc_json__read_string (object, "address", "with", true, text, sizeof text, error);
   if (r == 0 && lc_settings_parse_address (text, &address) < 0)
-    r = lc_json__wrong ("with.address", "\"a.b.c.d:port\"", error);
+    r = lc_json__set_expected ("with.address", "\"a.b.c.d:port\"", error);
   if (r == 0)
-    r = lc_json__u32 (object, "http_port", "with", &http_port, &is_there, error);
+    r = lc_json__read_u32 (object, "http_port", "with", &http_port, &is_there, error);
   out->ipv4 = address.ipv4;
   out->peer_port = address.port;
   out->http_port = (uint16_t)http_port;
@@ -363,41 +384,42 @@
 }
 
 static int
-lc_json__intent (const json_t *root, LcIntent *intent, LcError *error)
+lc_json__read_intent (const json_t *root, LcIntent *intent, LcError *error)
 {
   const json_t *declaration = json_object_get (root, "declaration");
   const json_t *with = json_object_get (root, "with");
   char word[LC_NAME_MAX];
-  int r = lc_json__string (root, "intent", "request", true, word, sizeof word, error);
+  int r = lc_json__read_string (root, "intent", "request", true, word, sizeof word, error);
 
   if (r < 0)
     return r;
   intent->kind = lc_intent_kind_parse (word);
   intent->allow_empty = json_is_true (json_object_get (root, "allow_empty"));
   intent->allow_cut = json_is_true (json_object_get (root, "allow_cut"));
-  r = lc_json__string (root, "target", "request", false, intent->target, LC_NAME_MAX, error);
+  r = lc_json__read_string (root, "target", "request", false, intent->target, LC_NAME_MAX, error);
   if (r == 0 && declaration != NULL)
-    r = lc_json__declaration (declaration, &intent->declaration, error);
+    r = lc_json__read_declaration (declaration, &intent->declaration, error);
   if (r == 0 && with != NULL)
-    r = lc_json__replacement (with, &intent->replacement, error);
+    r = lc_json__read_replacement (with, &intent->replacement, error);
   return r < 0 ? r : lc_intent_check (intent, error);
 }
 
 static int
-lc_json__head (const json_t *root, LcControlCommand *command, LcError *error)
+lc_json__read_header (const json_t *root, LcControlCommand *command, LcError *error)
 {
-  int r = lc_json__string (root, "request_id", "request", true, command->request_id,
-                           sizeof command->request_id, error);
+  int r = lc_json__read_string (root, "request_id", "request", true, command->request_id,
+                                sizeof command->request_id, error);
 
   if (r == 0)
-    r = lc_json__string (root, "who", "request", true, command->who, sizeof command->who, error);
+    r = lc_json__read_string (root, "who", "request", true, command->who, sizeof command->who,
+                              error);
   if (r == 0 && command->request_id[0] == '\0')
-    r = lc_json__wrong ("request.request_id", "a unique string", error);
+    r = lc_json__set_expected ("request.request_id", "a unique string", error);
   return r;
 }
 
 static json_t *
-lc_json__load (const char *body, size_t len, const char *const *known, int *r, LcError *error)
+lc_json__parse (const char *body, size_t len, const char *const *known, int *r, LcError *error)
 {
   json_error_t where;
   json_t *root = json_loadb (body, len, JSON_REJECT_DUPLICATES, &where);
@@ -406,7 +428,7 @@
     *r = lc_error_set (error, LC_ERR_INVALID, "correct the JSON at that place",
                        "line %d, column %d: %s", where.line, where.column, where.text);
   else
-    *r = lc_json__only (root, "request", known, error);
+    *r = lc_json__check_fields (root, "request", known, error);
   return root;
 }
 
@@ -417,14 +439,14 @@
                                        "target",      "allow_empty", "allow_cut",
                                        "declaration", "with",        NULL };
   int r = 0;
-  json_t *root = lc_json__load (body, len, KNOWN, &r, error);
+  json_t *root = lc_json__parse (body, len, KNOWN, &r, error);
 
   memset (command, 0, sizeof *command);
   command->kind = LC_COMMAND_PLAN;
   if (r == 0)
-    r = lc_json__head (root, command, error);
+    r = lc_json__read_header (root, command, error);
   if (r == 0)
-    r = lc_json__intent (root, &command->intent, error);
+    r = lc_json__read_intent (root, &command->intent, error);
   json_decref (root);
   if (r < 0)
     lc_control_command_finish (command);
@@ -439,16 +461,16 @@
 {
   static const char *const KNOWN[] = { "request_id", "who", "plan_id", NULL };
   int r = 0;
-  json_t *root = lc_json__load (body, len, KNOWN, &r, error);
+  json_t *root = lc_json__parse (body, len, KNOWN, &r, error);
   const json_t *id;
 
   memset (command, 0, sizeof *command);
   command->kind = LC_COMMAND_CONFIRM;
   if (r == 0)
-    r = lc_json__head (root, command, error);
+    r = lc_json__read_header (root, command, error);
   id = json_object_get (root, "plan_id");
   if (r == 0 && (!json_is_integer (id) || json_integer_value (id) <= 0))
-    r = lc_json__wrong ("request.plan_id", "the number of a plan", error);
+    r = lc_json__set_expected ("request.plan_id", "the number of a plan", error);
   if (r == 0)
     command->plan_id = (uint64_t)json_integer_value (id);
   json_decref (root);
@@ -464,21 +486,21 @@
   static const char *const KNOWN[] = { "request_id", "who",         "data_centre",
                                        "is_wanted",  "allow_empty", NULL };
   int r = 0;
-  json_t *root = lc_json__load (body, len, KNOWN, &r, error);
+  json_t *root = lc_json__parse (body, len, KNOWN, &r, error);
   const json_t *is_wanted = json_object_get (root, "is_wanted");
   LcEvacuation *order = &command->evacuation;
 
   memset (command, 0, sizeof *command);
   command->kind = LC_COMMAND_EVACUATE;
   if (r == 0)
-    r = lc_json__head (root, command, error);
+    r = lc_json__read_header (root, command, error);
   if (r == 0)
-    r = lc_json__string (root, "data_centre", "request", true, order->data_centre, LC_NAME_MAX,
-                         error);
+    r = lc_json__read_string (root, "data_centre", "request", true, order->data_centre, LC_NAME_MAX,
+                              error);
   if (r == 0 && order->data_centre[0] == '\0')
-    r = lc_json__wrong ("request.data_centre", "the name of a data centre", error);
+    r = lc_json__set_expected ("request.data_centre", "the name of a data centre", error);
   if (r == 0 && !json_is_boolean (is_wanted))
-    r = lc_json__wrong ("request.is_wanted", "true to begin, false to end", error);
+    r = lc_json__set_expected ("request.is_wanted", "true to begin, false to end", error);
   order->is_wanted = json_is_true (is_wanted);
   order->allow_empty = json_is_true (json_object_get (root, "allow_empty"));
   json_decref (root);
--- a/src/control/lc-control-json.h
+++ b/src/control/lc-control-json.h
@@ -33,11 +33,11 @@
 json_t *lc_control_json_history (const LcControlState *state, LcRevision after, uint32_t max);
 json_t *lc_control_json_services (const LcControlState *state);
 /* Per service: how many endpoints still take new work during evacuations, and of how many. */
-json_t *lc_control_json_left (const LcControlState *state);
+json_t *lc_control_json_capacity (const LcControlState *state);
 /* At most `max`, ordered by the names of their services. */
 json_t *lc_control_json_endpoints (const LcControlState *state, uint32_t max);
 json_t *lc_control_json_balancers (const LcControlState *state);
 /* Confirmed plans that are not finished. */
-json_t *lc_control_json_work (const LcControlState *state);
+json_t *lc_control_json_unfinished_plans (const LcControlState *state);
 
 #endif /* LC_CONTROL_JSON_H */
--- a/src/control/lc-control-state-codec.c
+++ b/src/control/lc-control-state-codec.c
@@ -35,10 +35,10 @@
 static void
 lc_codec__write_plans (LcArena *arena, Lc__Wire__ControlSnapshot *m, const LcControlState *state)
 {
-  Lc__Wire__StoredPlan *plans = lc_codec__new (arena, state->plans->len, sizeof *plans);
+  Lc__Wire__StoredPlan *plans = lc_codec__alloc (arena, state->plans->len, sizeof *plans);
 
   m->n_plans = state->plans->len;
-  m->plans = lc_codec__list (arena, m->n_plans);
+  m->plans = lc_codec__alloc_pointers (arena, m->n_plans);
   for (guint i = 0; i < state->plans->len; i++)
     {
       lc_codec__write_plan (arena, &plans[i], g_ptr_array_index (state->plans, i));
@@ -50,11 +50,11 @@
 lc_codec__write_answers (LcArena *arena, Lc__Wire__ControlSnapshot *m, const LcControlState *state)
 {
   Lc__Wire__StoredAnswer *answers =
-      lc_codec__new (arena, state->answer_order.length, sizeof *answers);
+      lc_codec__alloc (arena, state->answer_order.length, sizeof *answers);
   size_t i = 0;
 
   m->n_answers = state->answer_order.length;
-  m->answers = lc_codec__list (arena, m->n_answers);
+  m->answers = lc_codec__alloc_pointers (arena, m->n_answers);
   for (const GList *at = state->answer_order.head; at != NULL; at = at->next, i++)
     {
       const LcControlAnswer *a = g_hash_table_lookup (state->answers, at->data);
@@ -75,10 +75,10 @@
 static void
 lc_codec__write_history (LcArena *arena, Lc__Wire__ControlSnapshot *m, const LcControlState *state)
 {
-  Lc__Wire__StoredAudit *history = lc_codec__new (arena, state->history->len, sizeof *history);
+  Lc__Wire__StoredAudit *history = lc_codec__alloc (arena, state->history->len, sizeof *history);
 
   m->n_history = state->history->len;
-  m->history = lc_codec__list (arena, m->n_history);
+  m->history = lc_codec__alloc_pointers (arena, m->n_history);
   for (guint i = 0; i < state->history->len; i++)
     {
       LcAudit *audit = &g_array_index (state->history, LcAudit, i);
@@ -95,7 +95,7 @@
 }
 
 static uint32_t
-lc_codec__flags (const LcEndpointRecord *r)
+lc_codec__endpoint_flags (const LcEndpointRecord *r)
 {
   return (r->is_drained ? LC_RECORD_IS_DRAINED : 0U) | (r->is_leaving ? LC_RECORD_IS_LEAVING : 0U) |
          (r->is_ramped ? LC_RECORD_IS_RAMPED : 0U) | (r->is_lost ? LC_RECORD_IS_LOST : 0U) |
@@ -108,13 +108,13 @@
                            const LcControlState *state)
 {
   guint n = g_hash_table_size (state->endpoints);
-  Lc__Wire__StoredEndpoint *records = lc_codec__new (arena, n, sizeof *records);
+  Lc__Wire__StoredEndpoint *records = lc_codec__alloc (arena, n, sizeof *records);
   GHashTableIter iter;
   gpointer value;
   size_t i = 0;
 
   m->n_endpoints = n;
-  m->endpoints = lc_codec__list (arena, n);
+  m->endpoints = lc_codec__alloc_pointers (arena, n);
   g_hash_table_iter_init (&iter, state->endpoints);
   for (; g_hash_table_iter_next (&iter, NULL, &value); i++)
     {
@@ -127,7 +127,7 @@
       records[i].instance = r->instance;
       records[i].retired = r->retired;
       records[i].n_retired = LC_CONTROL_RETIRED_INSTANCES;
-      records[i].flags = lc_codec__flags (r);
+      records[i].flags = lc_codec__endpoint_flags (r);
       m->endpoints[i] = &records[i];
     }
 }
@@ -138,13 +138,13 @@
                            const LcControlState *state)
 {
   guint n = g_hash_table_size (state->balancers);
-  Lc__Wire__StoredBalancer *records = lc_codec__new (arena, n, sizeof *records);
+  Lc__Wire__StoredBalancer *records = lc_codec__alloc (arena, n, sizeof *records);
   GHashTableIter iter;
   gpointer value;
   size_t i = 0;
 
   m->n_balancers = n;
-  m->balancers = lc_codec__list (arena, n);
+  m->balancers = lc_codec__alloc_pointers (arena, n);
   g_hash_table_iter_init (&iter, state->balancers);
   for (; g_hash_table_iter_next (&iter, NULL, &value); i++)
     {
@@ -379,14 +379,14 @@
   bool ok;
 
   if (m == NULL)
-    return lc_codec__malformed (error, "the state's snapshot");
+    return lc_codec__set_malformed (error, "the state's snapshot");
   lc_control_state_init (&fresh);
   ok = lc_codec__read_state (&fresh, m);
   lc__wire__control_snapshot__free_unpacked (m, NULL);
   if (!ok)
     {
       lc_control_state_finish (&fresh);
-      return lc_codec__malformed (error, "the state's snapshot");
+      return lc_codec__set_malformed (error, "the state's snapshot");
     }
   lc_control_state_finish (state);
   *state = fresh;
--- a/src/control/lc-distributor-duties.c
+++ b/src/control/lc-distributor-duties.c
@@ -9,12 +9,12 @@
 };
 
 /* Longer than any flow or claim is kept, and than usual outages. */
-#define LC_DISTRIBUTOR_FORGET_US (600 * LC_US_PER_S)
+#define LC_DISTRIBUTOR_LOST_EXPIRY_US (600 * LC_US_PER_S)
 
 /* === private: data centres without balancers ================================================ */
 
 static bool
-lc_distributor__has_balancer (const LcView *view, LcDcId dc, bool *has_any)
+lc_distributor__has_live_balancer (const LcView *view, LcDcId dc, bool *has_any)
 {
   *has_any = false;
   for (guint i = 0; i < view->balancers->len; i++)
@@ -31,7 +31,7 @@
 }
 
 static void
-lc_distributor__lose_endpoints (LcDistributor *d, const LcDataCentre *dc, int64_t now_us)
+lc_distributor__mark_endpoints_lost (LcDistributor *d, const LcDataCentre *dc, int64_t now_us)
 {
   GHashTableIter iter;
   gpointer value;
@@ -51,7 +51,7 @@
           change.endpoint = *e;
           (void)g_strlcpy (change.service, s->name, sizeof change.service);
           (void)g_strlcpy (change.data_centre, dc->name, sizeof change.data_centre);
-          lc_distributor__take (d, &change, now_us);
+          lc_distributor__propose_reported (d, &change, now_us);
         }
     }
 }
@@ -73,7 +73,7 @@
 }
 
 static gboolean
-lc_distributor__is_lost_no_more (gpointer key, gpointer value, gpointer user)
+lc_distributor__is_no_longer_lost (gpointer key, gpointer value, gpointer user)
 {
   const LcEndpoint *e = lc_view_endpoint (user, GPOINTER_TO_UINT (key));
 
@@ -83,7 +83,7 @@
 
 /* A lost endpoint may return with its flows, so it stays in the view for this time. */
 static void
-lc_distributor__forget_lost (LcDistributor *d, const LcService *s, int64_t now_us)
+lc_distributor__expire_lost (LcDistributor *d, const LcService *s, int64_t now_us)
 {
   for (uint32_t i = 0; i < s->n_endpoints; i++)
     {
@@ -91,7 +91,7 @@
       LcMemberChange change = { .kind = LC_MEMBER_ENDPOINT_GONE };
 
       if (e->state != LC_ENDPOINT_LOST ||
-          now_us - lc_distributor__lost_since (d, e, now_us) < LC_DISTRIBUTOR_FORGET_US)
+          now_us - lc_distributor__lost_since (d, e, now_us) < LC_DISTRIBUTOR_LOST_EXPIRY_US)
         continue;
       change.endpoint = *e;
       (void)g_strlcpy (change.service, s->name, sizeof change.service);
@@ -105,11 +105,11 @@
   GHashTableIter iter;
   gpointer value;
 
-  (void)g_hash_table_foreach_remove (d->lost_since, lc_distributor__is_lost_no_more,
+  (void)g_hash_table_foreach_remove (d->lost_since, lc_distributor__is_no_longer_lost,
                                      (gpointer)d->desc.view);
   g_hash_table_iter_init (&iter, d->desc.view->services);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    lc_distributor__forget_lost (d, value, now_us);
+    lc_distributor__expire_lost (d, value, now_us);
 }
 
 /* Where all balancers are lost, none is left to report the endpoints.  The guard first held the
@@ -128,8 +128,8 @@
       const LcDataCentre *dc = &g_array_index (view->dcs, LcDataCentre, i);
       bool has_any;
 
-      if (!lc_distributor__has_balancer (view, dc->id, &has_any) && has_any)
-        lc_distributor__lose_endpoints (d, dc, now_us);
+      if (!lc_distributor__has_live_balancer (view, dc->id, &has_any) && has_any)
+        lc_distributor__mark_endpoints_lost (d, dc, now_us);
     }
 }
 
--- a/src/control/lc-distributor-private.h
+++ b/src/control/lc-distributor-private.h
@@ -49,12 +49,13 @@
 void lc_distributor__init_proposals (LcDistributor *d);
 void lc_distributor__finish_proposals (LcDistributor *d);
 /* At each tick: drops old proposals from `pending`, so that they can be repeated. */
-void lc_distributor__forget_old (LcDistributor *d, int64_t now_us);
+void lc_distributor__expire_pending (LcDistributor *d, int64_t now_us);
 /* Adds a change to the batch, unless an equal one is pending. */
 void lc_distributor__propose (LcDistributor *d, const LcMemberChange *change, int64_t now_us);
 /* The same for a reported change: the guard may hold it, and an endpoint's service and data centre
  * must exist. */
-void lc_distributor__take (LcDistributor *d, const LcMemberChange *change, int64_t now_us);
+void
+lc_distributor__propose_reported (LcDistributor *d, const LcMemberChange *change, int64_t now_us);
 /* Each second: endpoints in data centres without a live balancer, and those that stay lost. */
 void lc_distributor__sweep (LcDistributor *d, int64_t now_us);
 /* Proposes as settled the newest revision acknowledged by every live balancer and agent. */
--- a/src/control/lc-distributor-propose.c
+++ b/src/control/lc-distributor-propose.c
@@ -24,7 +24,7 @@
 /* === private: batches ======================================================================= */
 
 static gpointer
-lc_distributor__key (const LcMemberChange *change)
+lc_distributor__pending_key (const LcMemberChange *change)
 {
   char text[3 * LC_NAME_MAX];
 
@@ -51,9 +51,9 @@
 
 /* A change that was not proposed may be proposed again at once. */
 static void
-lc_distributor__forget (LcDistributor *d, const LcMemberChange *change)
+lc_distributor__remove_pending (LcDistributor *d, const LcMemberChange *change)
 {
-  char *key = lc_distributor__key (change);
+  char *key = lc_distributor__pending_key (change);
 
   (void)g_hash_table_remove (d->pending, key);
   g_free (key);
@@ -81,20 +81,20 @@
 {
   int64_t due_us = lc_batch_pace_add (&d->batch_pace, now_us);
 
-  lc_timer_hasten (&d->batch_timer, (uint32_t)(MAX (due_us - now_us, 0) / LC_US_PER_MS));
+  lc_timer_ensure_within (&d->batch_timer, (uint32_t)(MAX (due_us - now_us, 0) / LC_US_PER_MS));
 }
 
 /* Losses are not retried: a lost member may renew before there is a leader, and its watchers
  * repeat the report if not. */
 static bool
-lc_distributor__may_wait (const LcMemberChange *change)
+lc_distributor__is_retryable (const LcMemberChange *change)
 {
   return change->kind != LC_MEMBER_ENDPOINT_LOST && change->kind != LC_MEMBER_BALANCER_LOST;
 }
 
 /* Puts what was not proposed into the next batch, for a limited time and number. */
 static void
-lc_distributor__keep_rest (LcDistributor *d, const GArray *batch, guint from, int64_t now_us)
+lc_distributor__requeue_rest (LcDistributor *d, const GArray *batch, guint from, int64_t now_us)
 {
   bool is_kept = lc_batch_pace_should_retry (&d->batch_pace, now_us);
 
@@ -102,11 +102,11 @@
     {
       const LcMemberChange *change = &g_array_index (batch, LcMemberChange, i);
 
-      if (is_kept && lc_distributor__may_wait (change) &&
+      if (is_kept && lc_distributor__is_retryable (change) &&
           d->batch->len < LC_DISTRIBUTOR_WAITING_MAX)
         g_array_append_vals (d->batch, change, 1);
       else
-        lc_distributor__forget (d, change);
+        lc_distributor__remove_pending (d, change);
     }
   if (d->batch->len > 0)
     lc_distributor__arm_batch (d, now_us);
@@ -123,7 +123,7 @@
   d->batch = g_array_new (FALSE, FALSE, sizeof (LcMemberChange)); /* a proposal may add to it */
   n_sent = lc_distributor__send_batch (d, batch);
   if (n_sent < batch->len)
-    lc_distributor__keep_rest (d, batch, n_sent, now_us);
+    lc_distributor__requeue_rest (d, batch, n_sent, now_us);
   else
     lc_batch_pace_record_sent (&d->batch_pace, now_us);
   g_array_unref (batch);
@@ -143,7 +143,7 @@
 void
 lc_distributor__propose (LcDistributor *d, const LcMemberChange *change, int64_t now_us)
 {
-  char *key = lc_distributor__key (change);
+  char *key = lc_distributor__pending_key (change);
   int64_t *at_us = g_hash_table_lookup (d->pending, key);
 
   if (at_us != NULL && now_us - *at_us < LC_DISTRIBUTOR_PENDING_MS * LC_US_PER_MS)
@@ -162,7 +162,7 @@
 /* === private: changes not proposed ========================================================== */
 
 static gboolean
-lc_distributor__is_old (gpointer key, gpointer value, gpointer user)
+lc_distributor__is_pending_expired (gpointer key, gpointer value, gpointer user)
 {
   (void)key;
   return *(int64_t *)user - *(int64_t *)value >= LC_DISTRIBUTOR_PENDING_MS * LC_US_PER_MS;
@@ -171,7 +171,7 @@
 /* An endpoint of a service or data centre that no operator has opened is not proposed: it would
  * change nothing and be reported every second. */
 static bool
-lc_distributor__has_place (const LcDistributor *d, const LcMemberChange *change)
+lc_distributor__is_placeable (const LcDistributor *d, const LcMemberChange *change)
 {
   return change->kind != LC_MEMBER_ENDPOINT_ANNOUNCED ||
          (lc_view_service_by_name (d->desc.view, change->service) != NULL &&
@@ -179,7 +179,7 @@
 }
 
 static void
-lc_distributor__note_unplaced (LcDistributor *d, const LcMemberChange *change, int64_t now_us)
+lc_distributor__drop_unplaced (LcDistributor *d, const LcMemberChange *change, int64_t now_us)
 {
   lc_metric_add (d->unplaced_total, 1);
   if (lc_log_allow (&d->unplaced_limit, now_us, LC_DISTRIBUTOR_LOGS_PER_S))
@@ -191,11 +191,11 @@
 /* === shared: reports and lifetime =========================================================== */
 
 void
-lc_distributor__take (LcDistributor *d, const LcMemberChange *change, int64_t now_us)
+lc_distributor__propose_reported (LcDistributor *d, const LcMemberChange *change, int64_t now_us)
 {
-  if (!lc_distributor__has_place (d, change))
+  if (!lc_distributor__is_placeable (d, change))
     {
-      lc_distributor__note_unplaced (d, change, now_us);
+      lc_distributor__drop_unplaced (d, change, now_us);
       return;
     }
   if (lc_loss_guard_check (&d->guard, d->desc.view, change, now_us) == LC_LOSS_GUARD_PASS)
@@ -210,9 +210,9 @@
 }
 
 void
-lc_distributor__forget_old (LcDistributor *d, int64_t now_us)
+lc_distributor__expire_pending (LcDistributor *d, int64_t now_us)
 {
-  (void)g_hash_table_foreach_remove (d->pending, lc_distributor__is_old, &now_us);
+  (void)g_hash_table_foreach_remove (d->pending, lc_distributor__is_pending_expired, &now_us);
 }
 
 void
--- a/src/control/lc-distributor.c
+++ b/src/control/lc-distributor.c
@@ -10,9 +10,9 @@
 enum
 {
   LC_DISTRIBUTOR_TICK_MS = 100,
-  LC_DISTRIBUTOR_SOON_MS = 2, /* gathers announcements for one pass */
+  LC_DISTRIBUTOR_GATHER_MS = 2, /* gathers announcements for one pass */
   LC_DISTRIBUTOR_SEED_MS = 500,
-  LC_DISTRIBUTOR_SUSPECTS = 64,
+  LC_DISTRIBUTOR_SUSPECTS_MAX = 64,
   LC_DISTRIBUTOR_FOLLOWER_REPORTS = 3, /* without effect, before a follower proposes */
   LC_DISTRIBUTOR_LOGS_PER_S = 2,
 };
@@ -20,7 +20,7 @@
 /* === private: members' frames ============================================================== */
 
 static int64_t
-lc_distributor__age_us (const LcDistributor *d, int64_t now_us)
+lc_distributor__leader_age_us (const LcDistributor *d, int64_t now_us)
 {
   if (d->desc.leader_age_us != NULL)
     return d->desc.leader_age_us (d->desc.user);
@@ -33,7 +33,7 @@
 lc_distributor__send_status (LcDistributor *d, LcLink *link, bool needs_hello, int64_t now_us)
 {
   Lc__Wire__MemberStatus status = LC__WIRE__MEMBER_STATUS__INIT;
-  int64_t age_us = lc_distributor__age_us (d, now_us);
+  int64_t age_us = lc_distributor__leader_age_us (d, now_us);
   LcSocketAddress known[LC_CONTROL_VMS_MAX];
   uint64_t control[LC_CONTROL_VMS_MAX];
   uint32_t n_known = 0;
@@ -47,7 +47,7 @@
   status.is_confirmed = age_us >= 0;
   status.stands_by = d->desc.is_standby != NULL && d->desc.is_standby (d->desc.user);
   status.control_age_ms = age_us >= 0 ? (uint64_t)(age_us / LC_US_PER_MS) : UINT32_MAX;
-  lc_view_server_greeted (&d->server, link);
+  lc_view_server_add_waiting (&d->server, link);
   (void)lc_link_send (link, LC_FRAME_MEMBER_STATUS, &status.base);
 }
 
@@ -58,7 +58,7 @@
 }
 
 static void
-lc_distributor__malformed (LcDistributor *d, const char *what, const LcError *error)
+lc_distributor__drop_malformed (LcDistributor *d, const char *what, const LcError *error)
 {
   lc_metric_add (d->malformed_total, 1);
   if (lc_log_allow (&d->log_limit, lc_clock_now_us (), LC_DISTRIBUTOR_LOGS_PER_S))
@@ -75,7 +75,7 @@
   LcScope scope;
 
   if (lc_wire_member_scope_read (&scope, message, &error) < 0)
-    lc_distributor__malformed (d, "subscribe", &error);
+    lc_distributor__drop_malformed (d, "subscribe", &error);
   else
     lc_view_server_subscribe (&d->server, link, message->from_revision, &scope);
 }
@@ -92,7 +92,7 @@
   if (hello->member == NULL || lc_wire_member_change_read (&change, hello->member, &error) < 0 ||
       (change.kind != LC_MEMBER_BALANCER_ANNOUNCED && change.kind != LC_MEMBER_ENDPOINT_ANNOUNCED))
     {
-      lc_distributor__malformed (d, "hello", &error);
+      lc_distributor__drop_malformed (d, "hello", &error);
       return;
     }
   if (change.kind == LC_MEMBER_ENDPOINT_ANNOUNCED)
@@ -102,7 +102,7 @@
       return;
     }
   lc_watch_announce (&d->watch, &change, now_us);
-  lc_timer_hasten (&d->tick, LC_DISTRIBUTOR_SOON_MS);
+  lc_timer_ensure_within (&d->tick, LC_DISTRIBUTOR_GATHER_MS);
   lc_distributor__send_status (d, link, false, now_us);
   if (hello->subscribe != NULL)
     lc_distributor__on_subscribe (d, link, hello->subscribe);
@@ -135,9 +135,9 @@
 
       if (lc_wire_member_change_read (&change, report->changes[i], &error) < 0 ||
           change.kind == LC_MEMBER_SETTLED)
-        lc_distributor__malformed (d, "report", &error);
+        lc_distributor__drop_malformed (d, "report", &error);
       else
-        lc_distributor__take (d, &change, now_us);
+        lc_distributor__propose_reported (d, &change, now_us);
     }
 }
 
@@ -208,16 +208,16 @@
   if (!c->is_leader && (change->kind == LC_MEMBER_BALANCER_LOST || lease == NULL ||
                         lease->n_reports < LC_DISTRIBUTOR_FOLLOWER_REPORTS))
     return;
-  lc_distributor__take (c->distributor, change, c->now_us);
+  lc_distributor__propose_reported (c->distributor, change, c->now_us);
 }
 
 static void
-lc_distributor__tick_leases (LcDistributor *d, bool is_leader, int64_t now_us)
+lc_distributor__check_leases (LcDistributor *d, bool is_leader, int64_t now_us)
 {
   LcDistributorCollect collect = { d, now_us, is_leader };
-  LcLease *suspects[LC_DISTRIBUTOR_SUSPECTS];
+  LcLease *suspects[LC_DISTRIBUTOR_SUSPECTS_MAX];
 
-  (void)lc_watch_expire (&d->watch, now_us, suspects, LC_DISTRIBUTOR_SUSPECTS);
+  (void)lc_watch_expire (&d->watch, now_us, suspects, LC_DISTRIBUTOR_SUSPECTS_MAX);
   lc_watch_collect (&d->watch, d->desc.view, now_us, lc_distributor__on_missing, &collect);
   lc_metric_set (d->balancers_gauge, lc_lease_count (&d->watch.leases));
   lc_metric_set (d->snapshots_gauge, (int64_t)d->server.snapshots_total);
@@ -229,7 +229,7 @@
  * missing in the view that were collected without a leader were not proposed: they are collected
  * again at once. */
 static void
-lc_distributor__note_role (LcDistributor *d, bool is_leader, int64_t now_us)
+lc_distributor__update_role (LcDistributor *d, bool is_leader, int64_t now_us)
 {
   GHashTableIter iter;
   gpointer value;
@@ -256,15 +256,15 @@
   int64_t now_us = lc_clock_now_us ();
   bool is_leader = d->desc.is_leader (d->desc.user);
 
-  lc_distributor__note_role (d, is_leader, now_us);
+  lc_distributor__update_role (d, is_leader, now_us);
   lc_distributor__seed (d, now_us);
-  lc_distributor__tick_leases (d, is_leader, now_us);
+  lc_distributor__check_leases (d, is_leader, now_us);
   if (is_leader)
     {
       lc_distributor__sweep (d, now_us);
       lc_distributor__settle (d, now_us);
     }
-  lc_distributor__forget_old (d, now_us);
+  lc_distributor__expire_pending (d, now_us);
   lc_timer_start (&d->tick, LC_DISTRIBUTOR_TICK_MS);
 }
 
@@ -358,24 +358,24 @@
 }
 
 void
-lc_distributor_tell_waiting (LcDistributor *d)
+lc_distributor_notify_waiting (LcDistributor *d)
 {
-  lc_view_server_tell_waiting (&d->server);
+  lc_view_server_notify_waiting (&d->server);
 }
 
 /* === public: frames ========================================================================= */
 
 void
-lc_distributor_frame (LcDistributor *d, LcLink *link, const LcFrame *frame)
+lc_distributor_receive (LcDistributor *d, LcLink *link, const LcFrame *frame)
 {
   LcError error = { .message = "the payload does not unpack",
                     .remedy = "run the same version on both sides" };
-  ProtobufCMessage *message = lc_wire_member_unpack_up (frame, false);
+  ProtobufCMessage *message = lc_wire_member_unpack_upward (frame, false);
   int64_t now_us = lc_clock_now_us ();
 
   if (message == NULL)
     {
-      lc_distributor__malformed (d, "membership", &error);
+      lc_distributor__drop_malformed (d, "membership", &error);
       return;
     }
   if (frame->type == LC_FRAME_MEMBER_HELLO)
@@ -392,13 +392,13 @@
 void
 lc_distributor_link_down (LcDistributor *d, LcLink *link)
 {
-  lc_view_server_link_down (&d->server, link);
+  lc_view_server_handle_link_down (&d->server, link);
 }
 
 /* === public: status ========================================================================= */
 
 static LcDcStatus *
-lc_distributor__dc_status (LcDcStatus *out, uint32_t n, const char *name)
+lc_distributor__find_dc_status (LcDcStatus *out, uint32_t n, const char *name)
 {
   for (uint32_t i = 0; i < n; i++)
     if (strcmp (out[i].name, name) == 0)
@@ -410,7 +410,7 @@
 lc_distributor__add_lease (
     const LcDistributor *d, const LcLease *lease, LcDcStatus *out, uint32_t n, int64_t now_us)
 {
-  LcDcStatus *status = lc_distributor__dc_status (out, n, lease->member.data_centre);
+  LcDcStatus *status = lc_distributor__find_dc_status (out, n, lease->member.data_centre);
   int64_t silent_us = now_us - (lease->expires_us - d->watch.leases.lease_us);
   LcRevision in_force = lc_fold_in_force (&lease->fold);
 
--- a/src/control/lc-distributor.h
+++ b/src/control/lc-distributor.h
@@ -12,7 +12,7 @@
  *     distributor = lc_distributor_new (&desc, &error);
  *     lc_distributor_publish (distributor, ops, n_ops);   after each applied batch
  *     lc_distributor_reset (distributor);                 after a snapshot was loaded
- *     lc_distributor_frame (distributor, link, frame);    frames 100..199 of the peer server
+ *     lc_distributor_receive (distributor, link, frame);    frames 100..199 of the peer server
  *     lc_distributor_link_down (distributor, link);       when a link of the peer server closes
  *     lc_distributor_free (distributor);
  *
@@ -77,8 +77,8 @@
 /* The view was replaced by a snapshot: subscribers get one too. */
 void lc_distributor_reset (LcDistributor *distributor);
 /* Sends the status to members without a view, after `is_standby` or the addresses changed. */
-void lc_distributor_tell_waiting (LcDistributor *distributor);
-void lc_distributor_frame (LcDistributor *distributor, LcLink *link, const LcFrame *frame);
+void lc_distributor_notify_waiting (LcDistributor *distributor);
+void lc_distributor_receive (LcDistributor *distributor, LcLink *link, const LcFrame *frame);
 void lc_distributor_link_down (LcDistributor *distributor, LcLink *link);
 /* Fills `out` (room for `max`) and returns how many data centres there are. */
 uint32_t lc_distributor_status (const LcDistributor *distributor,
--- a/src/control/lc-raft-codec.c
+++ b/src/control/lc-raft-codec.c
@@ -5,9 +5,9 @@
 static void
 lc_codec__write_append (LcArena *arena, Lc__Wire__RaftMessage *w, const LcRaftMessage *m)
 {
-  Lc__Wire__RaftAppend *body = lc_codec__new (arena, 1, sizeof *body);
+  Lc__Wire__RaftAppend *body = lc_codec__alloc (arena, 1, sizeof *body);
   guint n = m->append.entries != NULL ? m->append.entries->len : 0;
-  Lc__Wire__LogEntry *entries = lc_codec__new (arena, n, sizeof *entries);
+  Lc__Wire__LogEntry *entries = lc_codec__alloc (arena, n, sizeof *entries);
 
   lc__wire__raft_append__init (body);
   body->prev_index = m->append.prev_index;
@@ -15,7 +15,7 @@
   body->commit_index = m->append.commit_index;
   body->sent_us = m->append.sent_us;
   body->n_entries = n;
-  body->entries = lc_codec__list (arena, n);
+  body->entries = lc_codec__alloc_pointers (arena, n);
   for (guint i = 0; i < n; i++)
     {
       const LcRaftEntry *e = &g_array_index (m->append.entries, LcRaftEntry, i);
@@ -34,7 +34,7 @@
 static void
 lc_codec__write_vote (LcArena *arena, Lc__Wire__RaftMessage *w, const LcRaftMessage *m)
 {
-  w->vote = lc_codec__new (arena, 1, sizeof *w->vote);
+  w->vote = lc_codec__alloc (arena, 1, sizeof *w->vote);
   lc__wire__raft_vote__init (w->vote);
   w->vote->last_index = m->vote.last_index;
   w->vote->last_term = m->vote.last_term;
@@ -47,7 +47,7 @@
 static void
 lc_codec__write_vote_reply (LcArena *arena, Lc__Wire__RaftMessage *w, const LcRaftMessage *m)
 {
-  w->vote_reply = lc_codec__new (arena, 1, sizeof *w->vote_reply);
+  w->vote_reply = lc_codec__alloc (arena, 1, sizeof *w->vote_reply);
   lc__wire__raft_vote_reply__init (w->vote_reply);
   w->vote_reply->is_pre = m->vote_reply.is_pre;
   w->vote_reply->is_granted = m->vote_reply.is_granted;
@@ -58,7 +58,7 @@
 static void
 lc_codec__write_append_reply (LcArena *arena, Lc__Wire__RaftMessage *w, const LcRaftMessage *m)
 {
-  w->append_reply = lc_codec__new (arena, 1, sizeof *w->append_reply);
+  w->append_reply = lc_codec__alloc (arena, 1, sizeof *w->append_reply);
   lc__wire__raft_append_reply__init (w->append_reply);
   w->append_reply->is_ok = m->append_reply.is_ok;
   w->append_reply->match_index = m->append_reply.match_index;
@@ -72,7 +72,7 @@
                           const LcRaftMessage *m,
                           GBytes *config)
 {
-  w->snapshot = lc_codec__new (arena, 1, sizeof *w->snapshot);
+  w->snapshot = lc_codec__alloc (arena, 1, sizeof *w->snapshot);
   lc__wire__raft_snapshot__init (w->snapshot);
   w->snapshot->last_index = m->snapshot.last_index;
   w->snapshot->last_term = m->snapshot.last_term;
@@ -87,7 +87,7 @@
 static void
 lc_codec__write_snapshot_reply (LcArena *arena, Lc__Wire__RaftMessage *w, const LcRaftMessage *m)
 {
-  w->snapshot_reply = lc_codec__new (arena, 1, sizeof *w->snapshot_reply);
+  w->snapshot_reply = lc_codec__alloc (arena, 1, sizeof *w->snapshot_reply);
   lc__wire__raft_snapshot_reply__init (w->snapshot_reply);
   w->snapshot_reply->last_index = m->snapshot_reply.last_index;
   w->snapshot_reply->next_offset = m->snapshot_reply.next_offset;
@@ -245,7 +245,7 @@
 
   memset (message, 0, sizeof *message);
   if (w == NULL)
-    return lc_codec__malformed (error, "a log message");
+    return lc_codec__set_malformed (error, "a log message");
   envelope->cluster = w->cluster;
   envelope->ipv4 = w->from_ipv4;
   envelope->port = (uint16_t)w->from_port;
@@ -258,5 +258,5 @@
   if (ok)
     return 0;
   lc_raft_message_finish (message);
-  return lc_codec__malformed (error, "a log message");
+  return lc_codec__set_malformed (error, "a log message");
 }
--- a/src/control/lc-replica-form.c
+++ b/src/control/lc-replica-form.c
@@ -11,13 +11,13 @@
 
 enum
 {
-  LC_REPLICA_HEARD_US = 2000000, /* older hello replies don't count for forming */
+  LC_REPLICA_REPLY_MAX_AGE_US = 2000000, /* older hello replies don't count for forming */
 };
 
 /* === forming ================================================================================ */
 
 static void
-lc_replica__become_member (LcReplica *replica, uint64_t cluster, const LcRaftConfig *initial)
+lc_replica__join_cluster (LcReplica *replica, uint64_t cluster, const LcRaftConfig *initial)
 {
   LcError error = { 0 };
 
@@ -36,10 +36,10 @@
 }
 
 static void
-lc_replica__put_founder (LcRaftConfig *config,
-                         LcReplicaId id,
-                         const char *name,
-                         const LcSocketAddress *address)
+lc_replica__add_first_member (LcRaftConfig *config,
+                              LcReplicaId id,
+                              const char *name,
+                              const LcSocketAddress *address)
 {
   LcRaftMember member = { .id = id, .ipv4 = address->ipv4, .peer_port = address->port };
 
@@ -50,10 +50,10 @@
 /* The first members: the VMs of `members` that have a disk.  False unless each VM replied lately
  * that it is in no cluster; then all of them arrive at the same list. */
 static bool
-lc_replica__gather_founders (LcReplica *replica, LcRaftConfig *config)
+lc_replica__collect_first_members (LcReplica *replica, LcRaftConfig *config)
 {
   const LcControlSettings *s = replica->desc.settings;
-  int64_t oldest_us = lc_replica__now_us () - LC_REPLICA_HEARD_US;
+  int64_t oldest_us = lc_replica__now_us () - LC_REPLICA_REPLY_MAX_AGE_US;
   uint32_t n_without_disk = 0;
 
   memset (config, 0, sizeof *config);
@@ -63,17 +63,17 @@
 
       if (lc_replica__is_self (replica, &s->members[i]))
         {
-          lc_replica__put_founder (config, replica->id, s->name, &s->members[i]);
+          lc_replica__add_first_member (config, replica->id, s->name, &s->members[i]);
           continue;
         }
-      peer = lc_replica__peer (replica, s->members[i].ipv4, s->members[i].port);
+      peer = lc_replica__ensure_peer (replica, s->members[i].ipv4, s->members[i].port);
       if (peer == NULL || peer->received_us == 0 || peer->cluster != 0 ||
           peer->received_us < oldest_us)
         return false;
       if (peer->has_no_disk)
         n_without_disk++;
       else
-        lc_replica__put_founder (config, peer->id, peer->name, &s->members[i]);
+        lc_replica__add_first_member (config, peer->id, peer->name, &s->members[i]);
     }
   return config->n_members + n_without_disk == s->n_members &&
          lc_raft_config_find (config, replica->id) != NULL;
@@ -81,7 +81,7 @@
 
 /* A peer in a cluster, if possible one that lists this replica as a first member; or NULL. */
 static const LcReplicaPeer *
-lc_replica__formed_peer (LcReplica *replica)
+lc_replica__find_formed_peer (LcReplica *replica)
 {
   const LcReplicaPeer *found = NULL;
 
@@ -114,7 +114,7 @@
 void
 lc_replica__form_step (LcReplica *replica)
 {
-  const LcReplicaPeer *formed = lc_replica__formed_peer (replica);
+  const LcReplicaPeer *formed = lc_replica__find_formed_peer (replica);
   LcRaftConfig config;
   GBytes *bytes;
   gsize len;
@@ -122,45 +122,45 @@
 
   if (formed != NULL && lc_raft_config_find (&formed->initial, replica->id) != NULL)
     {
-      lc_replica__become_member (replica, formed->cluster, &formed->initial);
+      lc_replica__join_cluster (replica, formed->cluster, &formed->initial);
       return;
     }
   if (formed != NULL)
     lc_replica__log_waiting (replica, formed);
   else if (replica->desc.settings->may_form && lc_replica__has_disk (replica) &&
-           lc_replica__gather_founders (replica, &config))
+           lc_replica__collect_first_members (replica, &config))
     {
       bytes = lc_raft_config_encode (&config);
       data = g_bytes_get_data (bytes, &len);
-      lc_replica__become_member (replica, XXH3_64bits (data, len) | 1, &config);
+      lc_replica__join_cluster (replica, XXH3_64bits (data, len) | 1, &config);
       g_bytes_unref (bytes);
       return;
     }
-  lc_replica__greet_all (replica);
+  lc_replica__probe_all (replica);
 }
 
 /* A log message to this replica's random id proves that the sender's cluster added it: only VMs
  * that received its hello replies hold the id.  A first member also needs the list of first
  * members, which is not in the log. */
 bool
-lc_replica__may_join (LcReplica *replica, const LcRaftMessage *message, uint64_t cluster)
+lc_replica__join_if_added (LcReplica *replica, const LcRaftMessage *message, uint64_t cluster)
 {
-  const LcReplicaPeer *formed = lc_replica__formed_peer (replica);
+  const LcReplicaPeer *formed = lc_replica__find_formed_peer (replica);
 
   if (replica->is_removed || message->to != replica->id || cluster == 0 || formed == NULL ||
       formed->cluster != cluster)
     return false;
   if (lc_raft_config_find (&formed->initial, replica->id) != NULL)
-    lc_replica__become_member (replica, cluster, &formed->initial);
+    lc_replica__join_cluster (replica, cluster, &formed->initial);
   else
-    lc_replica__become_member (replica, cluster, NULL);
+    lc_replica__join_cluster (replica, cluster, NULL);
   return replica->is_formed;
 }
 
 /* === healing ================================================================================ */
 
 static void
-lc_replica__change (LcReplica *replica, LcRaftChange change, const LcRaftMember *member)
+lc_replica__propose_change (LcReplica *replica, LcRaftChange change, const LcRaftMember *member)
 {
   static const char *const NAMES[] = { "", "add-learner", "promote", "remove" };
   LcError error = { 0 };
@@ -171,11 +171,11 @@
              LC_STR (member->name));
   else
     LC_DEBUG ("control.member-change-waits", "message", LC_STR (error.message));
-  lc_replica__pump (replica);
+  lc_replica__process_outputs (replica);
 }
 
 static void
-lc_replica__see (LcReplica *replica, const LcReplicaPeer *peer, LcHealReplica *seen)
+lc_replica__observe_peer (LcReplica *replica, const LcReplicaPeer *peer, LcHealReplica *seen)
 {
   const LcRaftProgress *progress = lc_raft_progress (&replica->raft, peer->id);
   int64_t silent_us = lc_replica__now_us () - peer->received_us;
@@ -205,19 +205,19 @@
 
   for (uint32_t i = 0; i < LC_REPLICA_PEERS_MAX && replica->peers[i] != NULL; i++)
     {
-      lc_replica__greet_unsure (replica, replica->peers[i]);
+      lc_replica__probe_if_silent (replica, replica->peers[i]);
       if (replica->peers[i]->id != 0)
-        lc_replica__see (replica, replica->peers[i], &seen[n++]);
+        lc_replica__observe_peer (replica, replica->peers[i], &seen[n++]);
     }
   if (lc_heal_next (&desc, &replica->raft.config, seen, n, &change))
-    lc_replica__change (replica, change.kind, &change.member);
+    lc_replica__propose_change (replica, change.kind, &change.member);
 }
 
 /* === replacing a member ===================================================================== */
 
 /* The member to remove: it has the old name and is not the replacement. */
 static const LcRaftMember *
-lc_replica__outgoing (const LcReplica *replica, LcReplicaId replacement)
+lc_replica__find_outgoing (const LcReplica *replica, LcReplicaId replacement)
 {
   for (uint32_t i = 0; i < replica->raft.config.n_members; i++)
     {
@@ -247,7 +247,7 @@
 lc_replica__replace_step (LcReplica *replica)
 {
   const LcControlAddress *to = &replica->state.replace.replacement;
-  LcReplicaPeer *peer = lc_replica__peer (replica, to->ipv4, to->peer_port);
+  LcReplicaPeer *peer = lc_replica__ensure_peer (replica, to->ipv4, to->peer_port);
   const LcRaftMember *known;
   const LcRaftMember *outgoing;
   LcRaftMember member = { .is_learner = true };
@@ -255,24 +255,24 @@
   if (peer == NULL || peer->id == 0 || (peer->cluster != 0 && peer->cluster != replica->cluster))
     {
       if (peer != NULL)
-        lc_replica__say_hello (peer, lc_link_client_link (&peer->client));
+        lc_replica__send_hello (peer, lc_link_client_link (&peer->client));
       return;
     }
   known = lc_raft_config_find (&replica->raft.config, peer->id);
-  outgoing = lc_replica__outgoing (replica, peer->id);
+  outgoing = lc_replica__find_outgoing (replica, peer->id);
   member.id = peer->id;
   member.ipv4 = to->ipv4;
   member.peer_port = to->peer_port;
   member.http_port = to->http_port;
   (void)g_strlcpy (member.name, to->name, sizeof member.name);
   if (known == NULL)
-    lc_replica__change (replica, LC_RAFT_ADD_LEARNER, &member);
+    lc_replica__propose_change (replica, LC_RAFT_ADD_LEARNER, &member);
   else if (known->is_learner)
-    lc_replica__change (replica, LC_RAFT_PROMOTE, &member);
+    lc_replica__propose_change (replica, LC_RAFT_PROMOTE, &member);
   else if (outgoing == NULL)
     lc_replica__finish_replace (replica);
   else if (outgoing->id == replica->id)
     lc_raft_transfer_leadership (&replica->raft, lc_replica__now_us ());
   else
-    lc_replica__change (replica, LC_RAFT_REMOVE, outgoing);
+    lc_replica__propose_change (replica, LC_RAFT_REMOVE, outgoing);
 }
--- a/src/control/lc-replica-peers.c
+++ b/src/control/lc-replica-peers.c
@@ -8,14 +8,14 @@
 enum
 {
   LC_REPLICA_BACKOFF_MAX_MS = 200,
-  LC_REPLICA_SURE_US = 500000,     /* after contact within this no hello is needed */
-  LC_REPLICA_FORGET_US = 30000000, /* silence after which the link to a non-member is closed */
+  LC_REPLICA_HELLO_AFTER_US = 500000,   /* after contact within this no hello is needed */
+  LC_REPLICA_PEER_EXPIRY_US = 30000000, /* silence after which the link to a non-member is closed */
 };
 
 /* === peers ================================================================================== */
 
 void
-lc_replica__say_hello (LcReplicaPeer *peer, LcLink *link)
+lc_replica__send_hello (LcReplicaPeer *peer, LcLink *link)
 {
   Lc__Wire__ControlHello hello = LC__WIRE__CONTROL_HELLO__INIT;
 
@@ -33,7 +33,7 @@
   LcReplicaPeer *peer = user;
 
   LC_INFO ("control.peer-up", "ipv4", LC_U64 (peer->ipv4), "port", LC_U64 (peer->port));
-  lc_replica__say_hello (peer, link);
+  lc_replica__send_hello (peer, link);
 }
 
 static void
@@ -77,7 +77,7 @@
 }
 
 LcReplicaPeer *
-lc_replica__peer (LcReplica *replica, uint32_t ipv4, uint16_t port)
+lc_replica__ensure_peer (LcReplica *replica, uint32_t ipv4, uint16_t port)
 {
   for (uint32_t i = 0; i < LC_REPLICA_PEERS_MAX; i++)
     {
@@ -103,12 +103,12 @@
 }
 
 void
-lc_replica__note_sender (LcReplica *replica, LcReplicaId from, uint32_t ipv4, uint16_t port)
+lc_replica__update_sender (LcReplica *replica, LcReplicaId from, uint32_t ipv4, uint16_t port)
 {
   LcReplicaPeer *peer = NULL;
 
   if (ipv4 != 0 && port != 0)
-    peer = lc_replica__peer (replica, ipv4, port);
+    peer = lc_replica__ensure_peer (replica, ipv4, port);
   if (peer == NULL)
     return;
   peer->id = from;
@@ -116,17 +116,18 @@
 }
 
 void
-lc_replica__link_members (LcReplica *replica)
+lc_replica__connect_members (LcReplica *replica)
 {
   const LcRaftConfig *config = &replica->raft.config;
 
   for (uint32_t i = 0; i < config->n_members; i++)
     if (config->members[i].id != replica->id)
-      (void)lc_replica__peer (replica, config->members[i].ipv4, config->members[i].peer_port);
+      (void)lc_replica__ensure_peer (replica, config->members[i].ipv4,
+                                     config->members[i].peer_port);
 }
 
 static bool
-lc_replica__is_setting (const LcReplica *replica, const LcReplicaPeer *peer)
+lc_replica__is_seed (const LcReplica *replica, const LcReplicaPeer *peer)
 {
   for (uint32_t i = 0; i < replica->n_seeds; i++)
     if (replica->seeds[i].ipv4 == peer->ipv4 && replica->seeds[i].port == peer->port)
@@ -135,19 +136,19 @@
 }
 
 static bool
-lc_replica__is_wanted (const LcReplica *replica, const LcReplicaPeer *peer)
+lc_replica__should_keep_peer (const LcReplica *replica, const LcReplicaPeer *peer)
 {
   const LcControlReplace *replace = &replica->state.replace;
 
   if (lc_raft_config_find_address (&replica->raft.config, peer->ipv4, peer->port) != NULL)
     return true;
-  if (lc_replica__is_setting (replica, peer) ||
-      (!replica->is_formed && lc_replica__is_learned (replica, peer)))
+  if (lc_replica__is_seed (replica, peer) ||
+      (!replica->is_formed && lc_replica__is_reported_member (replica, peer)))
     return true;
   if (replace->is_active && replace->replacement.ipv4 == peer->ipv4 &&
       replace->replacement.peer_port == peer->port)
     return true;
-  return lc_replica__now_us () - peer->received_us < LC_REPLICA_FORGET_US;
+  return lc_replica__now_us () - peer->received_us < LC_REPLICA_PEER_EXPIRY_US;
 }
 
 void
@@ -160,7 +161,7 @@
       LcReplicaPeer *peer = replica->peers[i];
 
       replica->peers[i] = NULL;
-      if (lc_replica__is_wanted (replica, peer))
+      if (lc_replica__should_keep_peer (replica, peer))
         replica->peers[n_kept++] = peer;
       else
         {
@@ -175,9 +176,9 @@
 /* A VM that sent a hello is up: connects to it now if the link waits for its next attempt.  Log
  * messages go over this VM's own link only, so after a start of all VMs waiting delays recovery. */
 static void
-lc_replica__reach_back (LcReplica *replica, uint32_t ipv4, uint16_t port)
+lc_replica__connect_back (LcReplica *replica, uint32_t ipv4, uint16_t port)
 {
-  LcReplicaPeer *peer = lc_replica__peer (replica, ipv4, port);
+  LcReplicaPeer *peer = lc_replica__ensure_peer (replica, ipv4, port);
 
   if (peer != NULL && lc_link_client_link (&peer->client) == NULL)
     lc_link_client_retarget (&peer->client, ipv4, port);
@@ -200,18 +201,18 @@
       m->port <= UINT16_MAX &&
       (m->cluster == 0 || !replica->is_formed ||
        lc_raft_config_find_address (&replica->raft.config, m->ipv4, (uint16_t)m->port) != NULL))
-    lc_replica__reach_back (replica, m->ipv4, (uint16_t)m->port);
+    lc_replica__connect_back (replica, m->ipv4, (uint16_t)m->port);
   lc__wire__control_hello__free_unpacked (m, NULL);
-  lc_replica__answer_hello (replica, link);
+  lc_replica__send_hello_reply (replica, link);
 }
 
 void
-lc_replica__answer_hello (LcReplica *replica, LcLink *link)
+lc_replica__send_hello_reply (LcReplica *replica, LcLink *link)
 {
   Lc__Wire__ControlHelloReply reply = LC__WIRE__CONTROL_HELLO_REPLY__INIT;
   GBytes *initial = lc_raft_config_encode (&replica->recovered.initial);
   LcRaftConfig config;
-  uint64_t members_index = lc_replica__members (replica, &config);
+  uint64_t members_index = lc_replica__committed_members (replica, &config);
   GBytes *members = members_index > 0 ? lc_raft_config_encode (&config) : NULL;
   gsize len;
 
@@ -236,7 +237,7 @@
 
 /* A blank replica at a member's address: that member has lost its data folder. */
 static void
-lc_replica__note_successor (LcReplica *replica, const LcReplicaPeer *peer)
+lc_replica__detect_lost_disk (LcReplica *replica, const LcReplicaPeer *peer)
 {
   const LcRaftConfig *config = &replica->raft.config;
 
@@ -252,7 +253,7 @@
   LcReplicaPeer *peer = lc_link_peer (link);
   Lc__Wire__ControlHelloReply *m =
       lc__wire__control_hello_reply__unpack (NULL, frame->payload_len, frame->payload);
-  LcReplicaLearned reported = { 0 };
+  LcReplicaMembership reported = { 0 };
   LcRaftConfig initial;
 
   if (m == NULL || peer == NULL || strlen (m->name) >= LC_NAME_MAX ||
@@ -268,10 +269,10 @@
       peer->initial = initial;
       peer->received_us = lc_replica__now_us ();
       (void)g_strlcpy (peer->name, m->name, sizeof peer->name);
-      lc_replica__note_successor (replica, peer);
+      lc_replica__detect_lost_disk (replica, peer);
       reported.members_index = m->members.len > 0 ? m->members_index : 0;
       reported.leader = m->leader;
-      lc_replica__learn (replica, peer, &reported);
+      lc_replica__update_membership (replica, peer, &reported);
     }
   if (m != NULL)
     lc__wire__control_hello_reply__free_unpacked (m, NULL);
@@ -287,38 +288,38 @@
 }
 
 static void
-lc_replica__link_seeds (LcReplica *replica)
+lc_replica__connect_seeds (LcReplica *replica)
 {
   for (uint32_t i = 0; i < replica->n_seeds; i++)
     if (!lc_replica__is_self (replica, &replica->seeds[i]))
-      (void)lc_replica__peer (replica, replica->seeds[i].ipv4, replica->seeds[i].port);
+      (void)lc_replica__ensure_peer (replica, replica->seeds[i].ipv4, replica->seeds[i].port);
 }
 
 /* Seeds may be standbys that have no other peer: a hello makes them connect to this member. */
 void
-lc_replica__greet_strangers (LcReplica *replica)
+lc_replica__probe_seeds (LcReplica *replica)
 {
   int64_t now_us = lc_replica__now_us ();
 
-  lc_replica__link_seeds (replica);
+  lc_replica__connect_seeds (replica);
   for (uint32_t i = 0; i < LC_REPLICA_PEERS_MAX && replica->peers[i] != NULL; i++)
     {
       LcReplicaPeer *peer = replica->peers[i];
 
-      if (lc_replica__is_setting (replica, peer) &&
-          (peer->received_us == 0 || now_us - peer->received_us >= LC_REPLICA_SURE_US))
-        lc_replica__say_hello (peer, lc_link_client_link (&peer->client));
+      if (lc_replica__is_seed (replica, peer) &&
+          (peer->received_us == 0 || now_us - peer->received_us >= LC_REPLICA_HELLO_AFTER_US))
+        lc_replica__send_hello (peer, lc_link_client_link (&peer->client));
     }
 }
 
 /* Repeated to every peer: a reply sent right after a start may lack the committed members. */
 void
-lc_replica__greet_all (LcReplica *replica)
+lc_replica__probe_all (LcReplica *replica)
 {
-  lc_replica__link_seeds (replica);
-  lc_replica__link_learned (replica);
+  lc_replica__connect_seeds (replica);
+  lc_replica__connect_reported (replica);
   for (uint32_t i = 0; i < LC_REPLICA_PEERS_MAX && replica->peers[i] != NULL; i++)
-    lc_replica__say_hello (replica->peers[i], lc_link_client_link (&replica->peers[i]->client));
+    lc_replica__send_hello (replica->peers[i], lc_link_client_link (&replica->peers[i]->client));
 }
 
 void
@@ -330,12 +331,12 @@
 
 /* To members that don't reply to log messages, and to standbys. */
 void
-lc_replica__greet_unsure (LcReplica *replica, LcReplicaPeer *peer)
+lc_replica__probe_if_silent (LcReplica *replica, LcReplicaPeer *peer)
 {
   const LcRaftProgress *progress = lc_raft_progress (&replica->raft, peer->id);
-  bool is_sure =
-      progress != NULL && replica->raft.clock_us - progress->reply_clock_us < LC_REPLICA_SURE_US;
+  bool is_sure = progress != NULL &&
+                 replica->raft.clock_us - progress->reply_clock_us < LC_REPLICA_HELLO_AFTER_US;
 
   if (!is_sure)
-    lc_replica__say_hello (peer, lc_link_client_link (&peer->client));
+    lc_replica__send_hello (peer, lc_link_client_link (&peer->client));
 }
--- a/src/control/lc-replica-standby.c
+++ b/src/control/lc-replica-standby.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 /* Peers without a reply for five hello intervals are taken as unreachable. */
-#define LC_REPLICA_ROUTE_US (1 * LC_US_PER_S)
+#define LC_REPLICA_REDIRECT_MAX_AGE_US (1 * LC_US_PER_S)
 
 /* === private: peers ========================================================================= */
 
@@ -27,7 +27,7 @@
 }
 
 uint64_t
-lc_replica__members (const LcReplica *replica, LcRaftConfig *members)
+lc_replica__committed_members (const LcReplica *replica, LcRaftConfig *members)
 {
   const LcRaft *raft = &replica->raft;
 
@@ -41,9 +41,9 @@
 }
 
 static bool
-lc_replica__is_left_out (const LcReplica *replica,
+lc_replica__was_removed (const LcReplica *replica,
                          const LcReplicaPeer *peer,
-                         const LcReplicaLearned *reported)
+                         const LcReplicaMembership *reported)
 {
   const LcRaft *raft = &replica->raft;
   int64_t silence_us = lc_raft_leader_silence_us (raft);
@@ -58,39 +58,42 @@
 }
 
 void
-lc_replica__learn (LcReplica *replica, const LcReplicaPeer *peer, const LcReplicaLearned *reported)
+lc_replica__update_membership (LcReplica *replica,
+                               const LcReplicaPeer *peer,
+                               const LcReplicaMembership *reported)
 {
   bool has_changed;
 
-  if (lc_replica__is_left_out (replica, peer, reported))
+  if (lc_replica__was_removed (replica, peer, reported))
     replica->is_removed = true;
   if (replica->is_formed || reported->members_index == 0 ||
       reported->members_index < replica->reported.members_index)
     return;
   has_changed = reported->members_index != replica->reported.members_index;
   replica->reported = *reported;
-  lc_replica__link_learned (replica); /* a hello is sent when a link is up */
+  lc_replica__connect_reported (replica); /* a hello is sent when a link is up */
   if (has_changed)
     replica->desc.members_changed (replica->desc.user);
 }
 
 bool
-lc_replica__is_learned (const LcReplica *replica, const LcReplicaPeer *peer)
+lc_replica__is_reported_member (const LcReplica *replica, const LcReplicaPeer *peer)
 {
   return lc_raft_config_find_address (&replica->reported.members, peer->ipv4, peer->port) != NULL;
 }
 
 void
-lc_replica__link_learned (LcReplica *replica)
+lc_replica__connect_reported (LcReplica *replica)
 {
   const LcRaftConfig *members = &replica->reported.members;
 
   for (uint32_t i = 0; i < members->n_members; i++)
-    (void)lc_replica__peer (replica, members->members[i].ipv4, members->members[i].peer_port);
+    (void)lc_replica__ensure_peer (replica, members->members[i].ipv4,
+                                   members->members[i].peer_port);
 }
 
 void
-lc_replica__greet_members (LcReplica *replica)
+lc_replica__probe_members (LcReplica *replica)
 {
   const LcRaftConfig *members = &replica->raft.config;
 
@@ -100,14 +103,14 @@
       LcReplicaPeer *peer = lc_replica__find_peer (replica, member->ipv4, member->peer_port);
 
       if (peer != NULL && member->id != replica->id)
-        lc_replica__say_hello (peer, lc_link_client_link (&peer->client));
+        lc_replica__send_hello (peer, lc_link_client_link (&peer->client));
     }
 }
 
 /* === shared: starting over ================================================================== */
 
 static void
-lc_replica__end_membership (LcReplica *replica)
+lc_replica__reset_state (LcReplica *replica)
 {
   LC_WARN (
       "control.removed", "replica", LC_U64 (replica->id), "meaning",
@@ -141,7 +144,7 @@
   int r;
 
   if (replica->is_formed)
-    lc_replica__end_membership (replica);
+    lc_replica__reset_state (replica);
   lc_store_finish (&replica->store);
   lc_store_init (&replica->store, &desc);
   r = lc_store_discard (&replica->store, &error);
@@ -165,15 +168,15 @@
 /* === public ================================================================================= */
 
 bool
-lc_replica_stands_by (const LcReplica *replica)
+lc_replica_is_standby (const LcReplica *replica)
 {
   return !replica->is_formed && replica->reported.members.n_members > 0;
 }
 
 const LcReplicaPeer *
-lc_replica_route (const LcReplica *replica)
+lc_replica_redirect_target (const LcReplica *replica)
 {
-  int64_t oldest_us = lc_replica__now_us () - LC_REPLICA_ROUTE_US;
+  int64_t oldest_us = lc_replica__now_us () - LC_REPLICA_REDIRECT_MAX_AGE_US;
   const LcRaftConfig *members = &replica->reported.members;
   const LcReplicaPeer *found = NULL;
 
@@ -191,7 +194,7 @@
 }
 
 uint32_t
-lc_replica_addresses (const LcReplica *replica, LcSocketAddress *out, uint32_t max)
+lc_replica_member_addresses (const LcReplica *replica, LcSocketAddress *out, uint32_t max)
 {
   const LcRaftConfig *members =
       replica->is_formed ? &replica->raft.config : &replica->reported.members;
--- a/src/control/lc-replica.c
+++ b/src/control/lc-replica.c
@@ -39,7 +39,7 @@
   const guint8 *data;
 
   if (member != NULL)
-    peer = lc_replica__peer (replica, member->ipv4, member->peer_port);
+    peer = lc_replica__ensure_peer (replica, member->ipv4, member->peer_port);
   /* A candidate or leader that is not in this VM's configuration yet gets replies too. */
   for (uint32_t i = 0; peer == NULL && i < LC_REPLICA_PEERS_MAX; i++)
     if (replica->peers[i] != NULL && replica->peers[i]->id == message->to)
@@ -140,12 +140,12 @@
   g_bytes_unref (data);
   replica->is_snapshotting = true;
   replica->log_bytes = 0;
-  lc_store_task_snapshot (&replica->task, &snapshot);
+  lc_store_task_save_snapshot (&replica->task, &snapshot);
 }
 
 /* Logs each change of leader or term, also when there is no leader. */
 static void
-lc_replica__note_leader (LcReplica *replica)
+lc_replica__log_leader_change (LcReplica *replica)
 {
   const LcRaft *raft = &replica->raft;
   const LcRaftMember *leader = lc_raft_config_find (&raft->config, raft->leader);
@@ -162,7 +162,7 @@
 /* === private: outputs ======================================================================= */
 
 static bool
-lc_replica__pump_once (LcReplica *replica)
+lc_replica__process_outputs_once (LcReplica *replica)
 {
   LcRaftSnapshot snapshot;
   LcRaftPersist persist;
@@ -187,15 +187,15 @@
 }
 
 void
-lc_replica__pump (LcReplica *replica)
+lc_replica__process_outputs (LcReplica *replica)
 {
   if (replica->is_pumping || !replica->is_formed)
     return;
   replica->is_pumping = true;
-  while (lc_replica__pump_once (replica))
+  while (lc_replica__process_outputs_once (replica))
     ;
   replica->is_pumping = false;
-  lc_replica__note_leader (replica);
+  lc_replica__log_leader_change (replica);
   lc_replica__maybe_snapshot (replica);
   lc_replica__update_metrics (replica);
 }
@@ -232,7 +232,7 @@
   if (report->result == LC_ERR_FULL)
     {
       lc_replica__on_disk_full (replica, report);
-      lc_replica__pump (replica);
+      lc_replica__process_outputs (replica);
       return;
     }
   if (report->result < 0)
@@ -254,7 +254,7 @@
       lc_metric_observe_us (replica->metrics.write_us, report->took_us);
       lc_raft_mark_persisted (&replica->raft, report->sequence, lc_replica__now_us ());
     }
-  lc_replica__pump (replica);
+  lc_replica__process_outputs (replica);
 }
 
 /* === private: ticks ========================================================================= */
@@ -270,7 +270,7 @@
   if (replica->is_formed)
     {
       lc_raft_tick (&replica->raft, now_us);
-      lc_replica__pump (replica);
+      lc_replica__process_outputs (replica);
     }
   if (now_us < replica->slow_tick_us)
     return;
@@ -280,15 +280,15 @@
   else if (!replica->is_formed)
     lc_replica__form_step (replica);
   else if (replica->raft.leader == 0)
-    lc_replica__greet_members (replica);
+    lc_replica__probe_members (replica);
   else if (lc_raft_is_leader (&replica->raft) && replica->state.replace.is_active)
     lc_replica__replace_step (replica);
   else if (lc_raft_is_leader (&replica->raft) && replica->desc.settings->heals)
     lc_replica__heal_step (replica);
   if (replica->is_formed)
     {
-      lc_replica__link_members (replica);
-      lc_replica__greet_strangers (replica);
+      lc_replica__connect_members (replica);
+      lc_replica__probe_seeds (replica);
     }
   lc_replica__expire_peers (replica);
 }
@@ -322,8 +322,8 @@
   lc_store_task_init (&replica->task, &task);
   replica->is_formed = true;
   replica->formed_us = lc_replica__now_us ();
-  lc_replica__link_members (replica);
-  lc_replica__pump (replica);
+  lc_replica__connect_members (replica);
+  lc_replica__process_outputs (replica);
 }
 
 static LcReplicaId
@@ -419,10 +419,10 @@
       return;
     }
   if (!replica->is_formed)
-    (void)lc_replica__may_join (replica, &message, envelope.cluster);
+    (void)lc_replica__join_if_added (replica, &message, envelope.cluster);
   if (replica->is_formed && envelope.cluster == replica->cluster && message.to == replica->id)
     {
-      lc_replica__note_sender (replica, message.from, envelope.ipv4, envelope.port);
+      lc_replica__update_sender (replica, message.from, envelope.ipv4, envelope.port);
       lc_raft_receive (&replica->raft, &message, lc_replica__now_us ());
     }
   else if (replica->is_formed)
@@ -434,7 +434,7 @@
                          "or replace it with an empty folder"));
     }
   lc_raft_message_finish (&message);
-  lc_replica__pump (replica);
+  lc_replica__process_outputs (replica);
 }
 
 static void
@@ -485,7 +485,7 @@
 }
 
 void
-lc_replica_frame (LcReplica *replica, LcLink *link, const LcFrame *frame)
+lc_replica_receive (LcReplica *replica, LcLink *link, const LcFrame *frame)
 {
   lc_replica__on_frame (replica, link, frame);
 }
@@ -503,7 +503,7 @@
   int r;
 
   if (leader != NULL)
-    peer = lc_replica__peer (replica, leader->ipv4, leader->peer_port);
+    peer = lc_replica__ensure_peer (replica, leader->ipv4, leader->peer_port);
   if (peer == NULL)
     return lc_error_set (error, LC_ERR_UNAVAILABLE,
                          "send it again in a second with the same request id; if it stays so, see "
@@ -543,17 +543,17 @@
       replica->proposed_index = index;
       replica->proposed_us = lc_clock_now_us ();
     }
-  lc_replica__pump (replica);
+  lc_replica__process_outputs (replica);
   return 0;
 }
 
 void
-lc_replica_leave (LcReplica *replica)
+lc_replica_transfer_leadership (LcReplica *replica)
 {
   if (!replica->is_formed)
     return;
   lc_raft_transfer_leadership (&replica->raft, lc_replica__now_us ());
-  lc_replica__pump (replica);
+  lc_replica__process_outputs (replica);
 }
 
 bool
@@ -590,7 +590,7 @@
 }
 
 int64_t
-lc_replica_silence_us (const LcReplica *replica)
+lc_replica_leader_silence_us (const LcReplica *replica)
 {
   return replica->is_formed ? lc_raft_leader_silence_us (&replica->raft) : -1;
 }
--- a/src/control/lc-replica.h
+++ b/src/control/lc-replica.h
@@ -9,7 +9,7 @@
  *     lc_replica_init (&replica, &desc, &error);
  *     lc_replica_propose (&replica, &command, &error);   a follower forwards it to the leader
  *     lc_replica_state (&replica)                        the applied state
- *     lc_replica_frame (&replica, link, frame);          frames 200..299 of the peer server
+ *     lc_replica_receive (&replica, link, frame);          frames 200..299 of the peer server
  *     lc_replica_finish (&replica);
  *   `applied` is called after each batch of applied commands; the answer to a plan or confirm is
  *   then in the state under its request id, on every VM.
@@ -88,7 +88,7 @@
   LcRaftConfig members;
   uint64_t members_index; /* 1 + log index of the configuration; 0: unknown */
   LcReplicaId leader;
-} LcReplicaLearned;
+} LcReplicaMembership;
 
 typedef struct
 {
@@ -128,10 +128,10 @@
   LcTimer timer;
   LcReplicaMetrics metrics;
   LcLogLimit log_limit;
-  LcReplicaLearned reported; /* while it is in no cluster */
-  bool is_removed;           /* by its cluster: it starts over at the next tick */
-  uint64_t snapshot_index;   /* newest saved or being saved */
-  uint64_t log_bytes;        /* applied since then */
+  LcReplicaMembership reported; /* while it is in no cluster */
+  bool is_removed;              /* by its cluster: it starts over at the next tick */
+  uint64_t snapshot_index;      /* newest saved or being saved */
+  uint64_t log_bytes;           /* applied since then */
   bool is_snapshotting;
   LcReplicaId logged_leader; /* as of the last log line */
   uint64_t logged_term;
@@ -145,7 +145,7 @@
 
 int lc_replica_init (LcReplica *replica, const LcReplicaDesc *desc, LcError *error);
 void lc_replica_finish (LcReplica *replica);
-void lc_replica_frame (LcReplica *replica, LcLink *link, const LcFrame *frame);
+void lc_replica_receive (LcReplica *replica, LcLink *link, const LcFrame *frame);
 
 /* 0: proposed, or forwarded to the leader; the result is in the state once applied.
  * LC_ERR_UNAVAILABLE: no leader is known or reachable now. */
@@ -153,7 +153,7 @@
 /* After a reload of `members`; the cluster's first members stay the same. */
 void lc_replica_set_seeds (LcReplica *replica, const LcSocketAddress *seeds, uint32_t n);
 /* For a planned stop: begins the transfer of leadership. */
-void lc_replica_leave (LcReplica *replica);
+void lc_replica_transfer_leadership (LcReplica *replica);
 /* Whether it is no leader, or the only voter. */
 bool lc_replica_may_stop (const LcReplica *replica);
 
@@ -164,12 +164,12 @@
 /* NULL: none is known. */
 const LcRaftMember *lc_replica_leader (const LcReplica *replica);
 /* Whether it is in no cluster, and its peers report the members of one. */
-bool lc_replica_stands_by (const LcReplica *replica);
+bool lc_replica_is_standby (const LcReplica *replica);
 /* On a standby: a member to redirect calls to, the leader if it replied lately; or NULL. */
-const LcReplicaPeer *lc_replica_route (const LcReplica *replica);
+const LcReplicaPeer *lc_replica_redirect_target (const LcReplica *replica);
 /* The peer addresses of the known members; returns how many, `max` at most. */
-uint32_t lc_replica_addresses (const LcReplica *replica, LcSocketAddress *out, uint32_t max);
+uint32_t lc_replica_member_addresses (const LcReplica *replica, LcSocketAddress *out, uint32_t max);
 /* Time since the last contact with a leader; 0 on the leader; -1: none yet. */
-int64_t lc_replica_silence_us (const LcReplica *replica);
+int64_t lc_replica_leader_silence_us (const LcReplica *replica);
 
 #endif /* LC_REPLICA_H */
--- a/src/control/lc-store-task.c
+++ b/src/control/lc-store-task.c
@@ -51,7 +51,7 @@
 
 /* Waits before the next attempt; false when the task is stopping. */
 static bool
-lc_store_task__pause (LcStoreTask *task)
+lc_store_task__wait_for_retry (LcStoreTask *task)
 {
   gint64 until = g_get_monotonic_time () + LC_STORE_RETRY_MS * G_TIME_SPAN_MILLISECOND;
   bool is_stopping;
@@ -65,7 +65,7 @@
 }
 
 static int
-lc_store_task__try (LcStoreTask *task, const LcStoreJob *job, LcError *error)
+lc_store_task__attempt (LcStoreTask *task, const LcStoreJob *job, LcError *error)
 {
   if (job->kind == LC_STORE_JOB_SNAPSHOT)
     return lc_store_save_snapshot (task->desc.store, &job->snapshot, error);
@@ -73,16 +73,16 @@
 }
 
 static void
-lc_store_task__carry_out (LcStoreTask *task, const LcStoreJob *job)
+lc_store_task__run_job (LcStoreTask *task, const LcStoreJob *job)
 {
   for (;;)
     {
       LcError error = { 0 };
       int64_t start_us = lc_clock_now_us ();
-      int r = lc_store_task__try (task, job, &error);
+      int r = lc_store_task__attempt (task, job, &error);
 
       lc_store_task__report (task, job, r, &error, lc_clock_now_us () - start_us);
-      if (r != LC_ERR_FULL || !lc_store_task__pause (task))
+      if (r != LC_ERR_FULL || !lc_store_task__wait_for_retry (task))
         return;
     }
 }
@@ -107,7 +107,7 @@
 
       is_running = job->kind != LC_STORE_JOB_STOP;
       if (is_running)
-        lc_store_task__carry_out (task, job);
+        lc_store_task__run_job (task, job);
       lc_store_task__free_job (job);
     }
   return NULL;
@@ -126,7 +126,7 @@
 
 /* Takes all messages off the list, in order. */
 static GPtrArray *
-lc_store_task__collect (h2o_linklist_t *messages)
+lc_store_task__take_messages (h2o_linklist_t *messages)
 {
   GPtrArray *all = g_ptr_array_new_with_free_func (lc_store_task__free_message);
 
@@ -144,7 +144,7 @@
 lc_store_task__on_messages (h2o_multithread_receiver_t *receiver, h2o_linklist_t *messages)
 {
   LcStoreTask *task = H2O_STRUCT_FROM_MEMBER (LcStoreTask, receiver, receiver);
-  GPtrArray *all = lc_store_task__collect (messages);
+  GPtrArray *all = lc_store_task__take_messages (messages);
 
   for (guint i = 0; i < all->len; i++)
     task->desc.done (task->desc.user, &((LcStoreMessage *)g_ptr_array_index (all, i))->report);
@@ -177,7 +177,7 @@
   g_mutex_unlock (&task->lock);
   g_async_queue_push (task->jobs, stop);
   g_thread_join (task->thread);
-  g_ptr_array_unref (lc_store_task__collect (&task->receiver._messages));
+  g_ptr_array_unref (lc_store_task__take_messages (&task->receiver._messages));
   h2o_multithread_unregister_receiver (task->queue, &task->receiver);
   h2o_multithread_destroy_queue (task->queue);
   g_async_queue_unref (task->jobs);
@@ -197,7 +197,7 @@
 }
 
 void
-lc_store_task_snapshot (LcStoreTask *task, LcRaftSnapshot *snapshot)
+lc_store_task_save_snapshot (LcStoreTask *task, LcRaftSnapshot *snapshot)
 {
   LcStoreJob *job = g_new0 (LcStoreJob, 1);
 
--- a/src/control/lc-store-task.h
+++ b/src/control/lc-store-task.h
@@ -7,7 +7,7 @@
  * HOW TO USE IT
  *     lc_store_task_init (&task, &desc);
  *     lc_store_task_write (&task, &persist);       takes ownership of its contents
- *     lc_store_task_snapshot (&task, &snapshot);   likewise
+ *     lc_store_task_save_snapshot (&task, &snapshot);   likewise
  *     lc_store_task_finish (&task);                waits for what is under way and queued
  *   `done` is called on the loop for each job, and also for each attempt that found the disk full:
  *   then `is_final` is false and the task retries it every half second.
@@ -58,6 +58,6 @@
 void lc_store_task_init (LcStoreTask *task, const LcStoreTaskDesc *desc);
 void lc_store_task_finish (LcStoreTask *task);
 void lc_store_task_write (LcStoreTask *task, LcRaftPersist *persist);
-void lc_store_task_snapshot (LcStoreTask *task, LcRaftSnapshot *snapshot);
+void lc_store_task_save_snapshot (LcStoreTask *task, LcRaftSnapshot *snapshot);
 
 #endif /* LC_STORE_TASK_H */
--- a/src/control/main.c
+++ b/src/control/main.c
@@ -31,9 +31,9 @@
   LcControlProgram *p = user;
 
   if (frame->type < LC_FRAME_CONTROL_FIRST)
-    lc_distributor_frame (p->distributor, link, frame);
+    lc_distributor_receive (p->distributor, link, frame);
   else if (frame->type < LC_FRAME_FLOW_FIRST)
-    lc_replica_frame (&p->replica, link, frame);
+    lc_replica_receive (&p->replica, link, frame);
   else
     lc_link_close (link, "frame type is not served here");
 }
@@ -59,7 +59,7 @@
     lc_distributor_reset (p->distributor);
   else if (p->distributor != NULL && n_ops > 0)
     lc_distributor_publish (p->distributor, ops, n_ops);
-  lc_control_http_applied (&p->http);
+  lc_control_http_answer_applied (&p->http);
 }
 
 static int
@@ -96,32 +96,32 @@
 {
   LcControlProgram *p = user;
 
-  return lc_replica_silence_us (&p->replica);
+  return lc_replica_leader_silence_us (&p->replica);
 }
 
 static void
-lc_control__on_learned (void *user)
+lc_control__on_members_changed (void *user)
 {
   LcControlProgram *p = user;
 
   if (p->distributor != NULL)
-    lc_distributor_tell_waiting (p->distributor);
+    lc_distributor_notify_waiting (p->distributor);
 }
 
 static bool
-lc_control__stands_by (void *user)
+lc_control__is_standby (void *user)
 {
   LcControlProgram *p = user;
 
-  return lc_replica_stands_by (&p->replica);
+  return lc_replica_is_standby (&p->replica);
 }
 
 static uint32_t
-lc_control__addresses (void *user, LcSocketAddress *out, uint32_t max)
+lc_control__member_addresses (void *user, LcSocketAddress *out, uint32_t max)
 {
   LcControlProgram *p = user;
 
-  return lc_replica_addresses (&p->replica, out, max);
+  return lc_replica_member_addresses (&p->replica, out, max);
 }
 
 /* === planned stop =========================================================================== */
@@ -132,7 +132,7 @@
   LcControlProgram *p = user;
 
   lc_control_http_drain (&p->http);
-  lc_replica_leave (&p->replica);
+  lc_replica_transfer_leadership (&p->replica);
 }
 
 static bool
@@ -169,7 +169,7 @@
 lc_control__start_replica (LcControlProgram *p, LcError *error)
 {
   LcReplicaDesc replica = { &p->app, &p->settings, p, lc_control__on_applied,
-                            lc_control__on_learned };
+                            lc_control__on_members_changed };
   LcControlHttpDesc http = { &p->app, &p->settings, &p->replica, &p->distributor };
   LcDistributorDesc distributor = { .app = &p->app,
                                     .view = &p->replica.state.view,
@@ -178,8 +178,8 @@
                                     .propose = lc_control__propose,
                                     .is_leader = lc_control__is_leader,
                                     .leader_age_us = lc_control__leader_age_us,
-                                    .is_standby = lc_control__stands_by,
-                                    .control_addresses = lc_control__addresses };
+                                    .is_standby = lc_control__is_standby,
+                                    .control_addresses = lc_control__member_addresses };
   int r = lc_control_http_init (&p->http, &http, error);
 
   if (r == 0)
--- a/src/controller/lc-member-choose.c
+++ b/src/controller/lc-member-choose.c
@@ -5,12 +5,12 @@
 
 enum
 {
-  LC_MEMBER_BEHIND_MS = 1000,     /* a source that is behind for so long is replaced */
-  LC_MEMBER_AVOID_MS = 10000,     /* a silent upstream; up to twice this with jitter */
-  LC_MEMBER_REBALANCE_MS = 10000, /* moves to better upstreams are spread over this */
-  LC_MEMBER_LOST_MS = 15000,      /* without a frame from any upstream: use the seeds */
-  LC_MEMBER_EMPTY_MS = 300,       /* an upstream without a view is replaced after this */
-  LC_MEMBER_AVOID_EMPTY_MS = 500, /* and avoided this long; up to twice this with jitter */
+  LC_MEMBER_BEHIND_MS = 1000,       /* a source that is behind for so long is replaced */
+  LC_MEMBER_AVOID_MS = 10000,       /* a silent upstream; up to twice this with jitter */
+  LC_MEMBER_REBALANCE_MS = 10000,   /* moves to better upstreams are spread over this */
+  LC_MEMBER_ISOLATED_MS = 15000,    /* without a frame from any upstream: use the seeds */
+  LC_MEMBER_NO_VIEW_MS = 300,       /* an upstream without a view is replaced after this */
+  LC_MEMBER_AVOID_NO_VIEW_MS = 500, /* and avoided this long; up to twice this with jitter */
 };
 
 /* === private: choice of upstreams =========================================================== */
@@ -18,10 +18,10 @@
 /* All balancers of an old view may have been replaced, so an agent that receives nothing for long
  * tries its seeds, too. */
 static bool
-lc_member__is_lost (const LcMember *member, int64_t now_us)
+lc_member__is_isolated (const LcMember *member, int64_t now_us)
 {
   return now_us - MAX (member->last_frame_us, member->started_us) >=
-         LC_MEMBER_LOST_MS * LC_US_PER_MS;
+         LC_MEMBER_ISOLATED_MS * LC_US_PER_MS;
 }
 
 static void
@@ -59,7 +59,7 @@
 {
   const LcView *view = &member->sync.view;
   const LcDataCentre *dc = lc_view_dc_by_name (view, member->desc.data_centre);
-  bool is_isolated = lc_member__is_lost (member, now_us);
+  bool is_isolated = lc_member__is_isolated (member, now_us);
 
   if (dc == NULL || (member->upstreams_revision == (int64_t)view->revision &&
                      member->was_isolated == is_isolated))
@@ -103,17 +103,17 @@
 {
   int64_t last_us = MAX (slot->last_frame_us, slot->opened_us);
 
-  return slot->is_open && now_us - last_us > lc_member__silent_us (slot->member);
+  return slot->is_open && now_us - last_us > lc_member__silence_limit_us (slot->member);
 }
 
 /* It answers but has no view, nor has this member.  When everything starts at once, no upstream
  * has one at first, so there is a grace period, except for a control VM on standby. */
 static bool
-lc_member__is_empty (const LcMemberSlot *slot, int64_t now_us)
+lc_member__lacks_view (const LcMemberSlot *slot, int64_t now_us)
 {
   return slot->is_open && slot->has_status && slot->revision == 0 &&
          slot->member->sync.view.revision == 0 &&
-         (slot->is_standby || now_us - slot->opened_us >= LC_MEMBER_EMPTY_MS * LC_US_PER_MS);
+         (slot->is_standby || now_us - slot->opened_us >= LC_MEMBER_NO_VIEW_MS * LC_US_PER_MS);
 }
 
 /* It is up but lacks revisions that others have had for long: its own upstream may be cut off.  A
@@ -127,14 +127,14 @@
 }
 
 static bool
-lc_member__is_useless (const LcMemberSlot *slot, int64_t now_us)
+lc_member__should_replace (const LcMemberSlot *slot, int64_t now_us)
 {
-  return lc_member__is_silent (slot, now_us) || lc_member__is_empty (slot, now_us) ||
+  return lc_member__is_silent (slot, now_us) || lc_member__lacks_view (slot, now_us) ||
          lc_member__is_lagging (slot, now_us);
 }
 
 static LcMemberSlot *
-lc_member__slot_at (LcMember *member, uint32_t ipv4, uint16_t port)
+lc_member__find_slot (LcMember *member, uint32_t ipv4, uint16_t port)
 {
   for (uint32_t i = member->first_dynamic; i < member->n_slots; i++)
     if (member->slots[i].is_open && member->slots[i].address.ipv4 == ipv4 &&
@@ -144,15 +144,16 @@
 }
 
 static void
-lc_member__avoid_useless (LcMember *member, LcUpstreams *from, int64_t now_us)
+lc_member__avoid_failed (LcMember *member, LcUpstreams *from, int64_t now_us)
 {
   for (uint32_t i = member->first_dynamic; i < member->n_slots; i++)
     {
       LcMemberSlot *slot = &member->slots[i];
       bool is_silent = lc_member__is_silent (slot, now_us);
-      int64_t avoid_us = (is_silent ? LC_MEMBER_AVOID_MS : LC_MEMBER_AVOID_EMPTY_MS) * LC_US_PER_MS;
+      int64_t avoid_us =
+          (is_silent ? LC_MEMBER_AVOID_MS : LC_MEMBER_AVOID_NO_VIEW_MS) * LC_US_PER_MS;
 
-      if (!lc_member__is_useless (slot, now_us))
+      if (!lc_member__should_replace (slot, now_us))
         continue;
       lc_upstreams_avoid (from, slot->address.ipv4, slot->address.port,
                           now_us + avoid_us + lc_member__jitter_us (avoid_us));
@@ -171,18 +172,18 @@
 /* A slot that may take another upstream: an unused or failed one at once; one that works but is no
  * longer among the best after a random delay, so that agents don't all move together. */
 static LcMemberSlot *
-lc_member__free_slot (LcMember *member,
-                      const LcUpstreams *from,
-                      const LcUpstream *best,
-                      uint32_t n_best,
-                      int64_t now_us)
+lc_member__find_replaceable_slot (LcMember *member,
+                                  const LcUpstreams *from,
+                                  const LcUpstream *best,
+                                  uint32_t n_best,
+                                  int64_t now_us)
 {
   for (uint32_t i = member->first_dynamic; i < member->n_slots; i++)
     {
       LcMemberSlot *slot = &member->slots[i];
 
       if (!slot->is_open ||
-          (lc_member__is_useless (slot, now_us) && !lc_member__is_wanted (slot, best, n_best)))
+          (lc_member__should_replace (slot, now_us) && !lc_member__is_wanted (slot, best, n_best)))
         return slot;
       if (lc_member__is_wanted (slot, best, n_best))
         {
@@ -210,20 +211,20 @@
 }
 
 void
-lc_member__choose_moving (LcMember *member, LcUpstreams *from, int64_t now_us)
+lc_member__choose_dynamic (LcMember *member, LcUpstreams *from, int64_t now_us)
 {
-  LcUpstream best[LC_MEMBER_MOVING_SLOTS];
+  LcUpstream best[LC_MEMBER_DYNAMIC_SLOTS];
   uint32_t n_best;
 
-  lc_member__avoid_useless (member, from, now_us);
-  n_best = lc_upstreams_best (from, now_us, best, LC_MEMBER_MOVING_SLOTS);
+  lc_member__avoid_failed (member, from, now_us);
+  n_best = lc_upstreams_best (from, now_us, best, LC_MEMBER_DYNAMIC_SLOTS);
   for (uint32_t i = 0; i < n_best; i++)
     {
       LcMemberSlot *slot;
 
-      if (lc_member__slot_at (member, best[i].ipv4, best[i].port) != NULL)
+      if (lc_member__find_slot (member, best[i].ipv4, best[i].port) != NULL)
         continue;
-      slot = lc_member__free_slot (member, from, best, n_best, now_us);
+      slot = lc_member__find_replaceable_slot (member, from, best, n_best, now_us);
       if (slot != NULL)
         lc_member__move (member, slot, &best[i], now_us);
     }
@@ -252,10 +253,10 @@
 }
 
 void
-lc_member__place_control (LcMember *member,
-                          uint32_t slot_index,
-                          const LcSocketAddress *address,
-                          int64_t now_us)
+lc_member__set_control_address (LcMember *member,
+                                uint32_t slot_index,
+                                const LcSocketAddress *address,
+                                int64_t now_us)
 {
   LcMemberSlot *slot = &member->slots[slot_index];
 
@@ -288,9 +289,9 @@
 
 /* A relay that answers but is itself cut off from control serves an outdated view. */
 static bool
-lc_member__is_vouched (const LcMemberSlot *slot, int64_t now_us)
+lc_member__is_relay_current (const LcMemberSlot *slot, int64_t now_us)
 {
-  return now_us - slot->confirmed_us <= lc_member__unvouched_us (slot->member);
+  return now_us - slot->confirmed_us <= lc_member__relay_stale_us (slot->member);
 }
 
 static bool
@@ -298,7 +299,7 @@
 {
   for (uint32_t i = member->first_dynamic; i < member->n_slots; i++)
     if (lc_member__is_usable (&member->slots[i], now_us) &&
-        lc_member__is_vouched (&member->slots[i], now_us))
+        lc_member__is_relay_current (&member->slots[i], now_us))
       return true;
   return false;
 }
@@ -309,7 +310,7 @@
 {
   lc_member__list_relays (member);
   if (member->has_relays)
-    lc_member__choose_moving (member, &member->relays, now_us);
+    lc_member__choose_dynamic (member, &member->relays, now_us);
   else
     for (uint32_t i = member->first_dynamic; i < member->n_slots; i++)
       lc_member__close (&member->slots[i], now_us);
@@ -332,7 +333,7 @@
 
 /* The usable upstream with the newest view; the first by rendezvous rank among equals. */
 static LcMemberSlot *
-lc_member__newest_slot (LcMember *member, int64_t now_us)
+lc_member__find_newest_slot (LcMember *member, int64_t now_us)
 {
   LcMemberSlot *best = NULL;
 
@@ -409,7 +410,7 @@
 void
 lc_member__choose_primary (LcMember *member, int64_t now_us)
 {
-  LcMemberSlot *newest = lc_member__newest_slot (member, now_us);
+  LcMemberSlot *newest = lc_member__find_newest_slot (member, now_us);
   LcMemberSlot *primary =
       member->primary < member->n_slots ? &member->slots[member->primary] : NULL;
 
@@ -432,7 +433,7 @@
 /* A balancer subscribes to one upstream; an agent, whose part of the view is small, to both, so
  * that the failure of one causes no delay. */
 void
-lc_member__subscribe_due (LcMember *member, int64_t now_us)
+lc_member__send_due_subscriptions (LcMember *member, int64_t now_us)
 {
   for (uint32_t i = 0; i < member->n_slots; i++)
     {
--- a/src/controller/lc-member-serve.c
+++ b/src/controller/lc-member-serve.c
@@ -57,7 +57,7 @@
 lc_member_serve__send_status (LcMember *member, LcLink *link, bool needs_hello, int64_t now_us)
 {
   Lc__Wire__MemberStatus status = LC__WIRE__MEMBER_STATUS__INIT;
-  int64_t silence_us = lc_member_silence_us (member, now_us);
+  int64_t silence_us = lc_member_view_age_us (member, now_us);
   LcSocketAddress known[LC_CONTROL_VMS_MAX];
   uint64_t control[LC_CONTROL_VMS_MAX];
 
@@ -66,8 +66,8 @@
   status.control_age_ms = silence_us >= 0 ? (uint64_t)(silence_us / LC_US_PER_MS) : UINT32_MAX;
   status.is_confirmed = member->is_confirmed;
   lc_wire_member_control_write (&status, control, known,
-                                lc_member_control (member, known, LC_CONTROL_VMS_MAX));
-  lc_view_server_greeted (&member->server, link);
+                                lc_member_list_control (member, known, LC_CONTROL_VMS_MAX));
+  lc_view_server_add_waiting (&member->server, link);
   (void)lc_link_send (link, LC_FRAME_MEMBER_STATUS, &status.base);
 }
 
@@ -86,7 +86,7 @@
   LcScope scope;
 
   if (lc_wire_member_scope_read (&scope, message, &error) < 0)
-    lc_member_note_malformed (member, "subscribe", &error);
+    lc_member_record_malformed (member, "subscribe", &error);
   else
     lc_view_server_subscribe (&member->server, link, message->from_revision, &scope);
 }
@@ -103,7 +103,7 @@
   if (hello->member == NULL || lc_wire_member_change_read (&change, hello->member, &error) < 0 ||
       (change.kind != LC_MEMBER_ENDPOINT_ANNOUNCED && change.kind != LC_MEMBER_BALANCER_ANNOUNCED))
     {
-      lc_member_note_malformed (member, "hello", &error);
+      lc_member_record_malformed (member, "hello", &error);
       return;
     }
   lc_watch_announce (&member->watch, &change, now_us);
@@ -165,7 +165,10 @@
 }
 
 static void
-lc_member_serve__ask (LcMember *member, const LcUpstream *watcher, LcLease *lease, int64_t now_us)
+lc_member_serve__send_query (LcMember *member,
+                             const LcUpstream *watcher,
+                             LcLease *lease,
+                             int64_t now_us)
 {
   Lc__Wire__LeaseQuery query = LC__WIRE__LEASE_QUERY__INIT;
   Lc__Wire__LeaseName name = LC__WIRE__LEASE_NAME__INIT;
@@ -183,7 +186,7 @@
 static void
 lc_member_serve__forward_report (LcMember *member, const LcFrame *frame, int64_t now_us)
 {
-  LcLink *link = lc_member_report_link (member, now_us);
+  LcLink *link = lc_member_select_report_link (member, now_us);
 
   if (link != NULL)
     (void)lc_link_send_bytes (link, frame->type, frame->payload, frame->payload_len);
@@ -211,7 +214,7 @@
 
 /* The watchers of a member by rendezvous rank, best first. */
 static uint32_t
-lc_member_serve__watchers (
+lc_member_serve__list_watchers (
     const LcMember *member, const LcMemberChange *of, LcDcId dc, LcUpstream *out, uint32_t max)
 {
   LcUpstreams up;
@@ -227,14 +230,14 @@
 }
 
 static bool
-lc_member_serve__is_me (const LcMember *member, const LcUpstream *watcher)
+lc_member_serve__is_self (const LcMember *member, const LcUpstream *watcher)
 {
   return watcher->ipv4 == member->desc.balancer.ipv4 &&
          watcher->port == member->desc.balancer.peer_port;
 }
 
 static void
-lc_member_serve__ask_others (LcMember *member, LcLease *lease, int64_t now_us)
+lc_member_serve__query_watchers (LcMember *member, LcLease *lease, int64_t now_us)
 {
   const LcDataCentre *dc = lc_view_dc_by_name (&member->sync.view, lease->member.data_centre);
   LcUpstream watchers[LC_MEMBER_SERVE_WATCHERS];
@@ -242,18 +245,18 @@
 
   if (dc == NULL)
     return;
-  n = lc_member_serve__watchers (member, &lease->member, dc->id, watchers,
-                                 LC_MEMBER_SERVE_WATCHERS);
+  n = lc_member_serve__list_watchers (member, &lease->member, dc->id, watchers,
+                                      LC_MEMBER_SERVE_WATCHERS);
   for (uint32_t i = 0; i < n; i++)
-    if (!lc_member_serve__is_me (member, &watchers[i]))
-      lc_member_serve__ask (member, &watchers[i], lease, now_us);
+    if (!lc_member_serve__is_self (member, &watchers[i]))
+      lc_member_serve__send_query (member, &watchers[i], lease, now_us);
 }
 
 /* === private: members without a lease ======================================================= */
 
 /* Whether this balancer is one of the two best-ranked watchers of the endpoint. */
 static bool
-lc_member_serve__is_watcher (const LcMember *member, const LcEndpoint *e)
+lc_member_serve__is_endpoint_watcher (const LcMember *member, const LcEndpoint *e)
 {
   const LcView *view = &member->sync.view;
   const LcBalancer *me = lc_view_balancer_by_name (view, member->desc.balancer.name);
@@ -263,7 +266,7 @@
   if (me == NULL || me->dc != e->dc)
     return false;
   mine = lc_upstream_score (e->name, me->ipv4, me->peer_port);
-  for (guint i = 0; i < view->balancers->len && n_better < LC_MEMBER_MOVING_SLOTS; i++)
+  for (guint i = 0; i < view->balancers->len && n_better < LC_MEMBER_DYNAMIC_SLOTS; i++)
     {
       const LcBalancer *b = &g_array_index (view->balancers, LcBalancer, i);
 
@@ -271,16 +274,19 @@
           lc_upstream_score (e->name, b->ipv4, b->peer_port) > mine)
         n_better++;
     }
-  return n_better < LC_MEMBER_MOVING_SLOTS;
+  return n_better < LC_MEMBER_DYNAMIC_SLOTS;
 }
 
 static void
-lc_member_serve__seed (LcMember *member, const LcService *s, const LcEndpoint *e, int64_t now_us)
+lc_member_serve__seed_endpoint (LcMember *member,
+                                const LcService *s,
+                                const LcEndpoint *e,
+                                int64_t now_us)
 {
   LcMemberChange change = { .kind = LC_MEMBER_ENDPOINT_ANNOUNCED };
 
   if (e->state == LC_ENDPOINT_LOST || lc_lease_find (&member->watch.leases, e->name) != NULL ||
-      !lc_member_serve__is_watcher (member, e))
+      !lc_member_serve__is_endpoint_watcher (member, e))
     return;
   change.endpoint = *e;
   (void)g_strlcpy (change.service, s->name, sizeof change.service);
@@ -290,13 +296,13 @@
 
 /* Whether this balancer is one of the two best-ranked watchers of a member. */
 static bool
-lc_member_serve__is_chosen (const LcMember *member, const LcMemberChange *of, LcDcId dc)
+lc_member_serve__is_member_watcher (const LcMember *member, const LcMemberChange *of, LcDcId dc)
 {
-  LcUpstream watchers[LC_MEMBER_MOVING_SLOTS];
-  uint32_t n = lc_member_serve__watchers (member, of, dc, watchers, LC_MEMBER_MOVING_SLOTS);
+  LcUpstream watchers[LC_MEMBER_DYNAMIC_SLOTS];
+  uint32_t n = lc_member_serve__list_watchers (member, of, dc, watchers, LC_MEMBER_DYNAMIC_SLOTS);
 
   for (uint32_t i = 0; i < n; i++)
-    if (lc_member_serve__is_me (member, &watchers[i]))
+    if (lc_member_serve__is_self (member, &watchers[i]))
       return true;
   return false;
 }
@@ -317,7 +323,7 @@
       if (b->dc != dc->id || b->state == LC_BALANCER_LOST ||
           lc_lease_find (&member->watch.leases, b->name) != NULL ||
           lc_relays_is_listed (relays, n_relays, b->id) ||
-          !lc_member_serve__is_chosen (member, &change, dc->id))
+          !lc_member_serve__is_member_watcher (member, &change, dc->id))
         continue;
       (void)g_strlcpy (change.data_centre, dc->name, sizeof change.data_centre);
       lc_watch_seed (&member->watch, &change, now_us);
@@ -327,7 +333,7 @@
 /* A member that died before all its watchers restarted has no lease, so nothing would report it
  * lost.  Its best-ranked watchers start a lease from the view, which expires unless renewed. */
 static void
-lc_member_serve__sweep (LcMember *member, int64_t now_us)
+lc_member_serve__seed_leases (LcMember *member, int64_t now_us)
 {
   const LcDataCentre *dc = lc_view_dc_by_name (&member->sync.view, member->desc.data_centre);
   GHashTableIter iter;
@@ -347,7 +353,7 @@
 
       for (uint32_t i = 0; i < s->n_endpoints; i++)
         if (s->endpoints[i].dc == dc->id)
-          lc_member_serve__seed (member, s, &s->endpoints[i], now_us);
+          lc_member_serve__seed_endpoint (member, s, &s->endpoints[i], now_us);
     }
 }
 
@@ -390,9 +396,9 @@
 }
 
 static void
-lc_member_serve__report (LcMember *member, int64_t now_us)
+lc_member_serve__send_reports (LcMember *member, int64_t now_us)
 {
-  LcLink *link = lc_member_report_link (member, now_us);
+  LcLink *link = lc_member_select_report_link (member, now_us);
   LcMemberReporter *r;
 
   if (link == NULL || member->sync.view.revision == 0)
@@ -415,9 +421,9 @@
   size_t n = lc_watch_expire (&member->watch, now_us, suspects, LC_MEMBER_SERVE_SUSPECTS);
 
   for (size_t i = 0; i < n; i++)
-    lc_member_serve__ask_others (member, suspects[i], now_us);
-  lc_member_serve__sweep (member, now_us);
-  lc_member_serve__report (member, now_us);
+    lc_member_serve__query_watchers (member, suspects[i], now_us);
+  lc_member_serve__seed_leases (member, now_us);
+  lc_member_serve__send_reports (member, now_us);
   lc_peer_pool_expire (&member->watchers, now_us);
   lc_metric_set (member->leases_gauge, lc_lease_count (&member->watch.leases));
 }
@@ -429,22 +435,22 @@
 }
 
 void
-lc_member_serve_link_down (LcMember *member, LcLink *link)
+lc_member_serve_handle_link_down (LcMember *member, LcLink *link)
 {
-  lc_view_server_link_down (&member->server, link);
+  lc_view_server_handle_link_down (&member->server, link);
 }
 
 void
-lc_member_serve_frame (LcMember *member, LcLink *link, const LcFrame *frame)
+lc_member_serve_handle_frame (LcMember *member, LcLink *link, const LcFrame *frame)
 {
   LcError error = { .message = "the payload does not unpack",
                     .remedy = "run the same version on both sides" };
-  ProtobufCMessage *message = lc_wire_member_unpack_up (frame, true);
+  ProtobufCMessage *message = lc_wire_member_unpack_upward (frame, true);
   int64_t now_us = lc_clock_now_us ();
 
   if (message == NULL)
     {
-      lc_member_note_malformed (member, "membership", &error);
+      lc_member_record_malformed (member, "membership", &error);
       return;
     }
   if (frame->type == LC_FRAME_MEMBER_HELLO)
--- a/src/controller/lc-member-upstream.c
+++ b/src/controller/lc-member-upstream.c
@@ -10,8 +10,8 @@
 
 enum
 {
-  LC_MEMBER_LEASE_MS = 3000,
-  LC_MEMBER_ASK_AGAIN_MS = 200, /* between subscriptions on one link */
+  LC_MEMBER_DEFAULT_LEASE_MS = 3000,
+  LC_MEMBER_RESUBSCRIBE_MS = 200, /* between subscriptions on one link */
   LC_MEMBER_LOGS_PER_S = 2,
   LC_MEMBER_VIEW_LOG_PER_S = 10,
   LC_MEMBER_LINK_LOG_PER_S = 5,
@@ -22,7 +22,7 @@
 static uint32_t
 lc_member__lease_ms (const LcMember *member)
 {
-  return member->desc.lease_ms != 0 ? member->desc.lease_ms : LC_MEMBER_LEASE_MS;
+  return member->desc.lease_ms != 0 ? member->desc.lease_ms : LC_MEMBER_DEFAULT_LEASE_MS;
 }
 
 static int64_t
@@ -33,16 +33,16 @@
 
 /* Two and a half renewal intervals: two renewals without an answer. */
 int64_t
-lc_member__silent_us (const LcMember *member)
+lc_member__silence_limit_us (const LcMember *member)
 {
   return lc_member__renew_us (member) * 2 + lc_member__renew_us (member) / 2;
 }
 
 /* The silence limit and a renewal interval, which the relay's own confirmation may be old. */
 int64_t
-lc_member__unvouched_us (const LcMember *member)
+lc_member__relay_stale_us (const LcMember *member)
 {
-  return lc_member__silent_us (member) + lc_member__renew_us (member);
+  return lc_member__silence_limit_us (member) + lc_member__renew_us (member);
 }
 
 int64_t
@@ -78,7 +78,7 @@
 }
 
 static void
-lc_member__scope (const LcMember *member, LcScope *scope)
+lc_member__make_scope (const LcMember *member, LcScope *scope)
 {
   memset (scope, 0, sizeof *scope);
   if (member->desc.kind != LC_MEMBER_AGENT)
@@ -89,7 +89,7 @@
 }
 
 void
-lc_member_note_malformed (LcMember *member, const char *what, const LcError *error)
+lc_member_record_malformed (LcMember *member, const char *what, const LcError *error)
 {
   lc_metric_add (member->malformed_total, 1);
   if (lc_log_allow (&member->log_limit, lc_clock_now_us (), LC_MEMBER_LOGS_PER_S))
@@ -100,7 +100,7 @@
 /* === private: what is sent upstream ========================================================= */
 
 static void
-lc_member__announced (const LcMember *member, LcMemberChange *change)
+lc_member__make_announcement (const LcMember *member, LcMemberChange *change)
 {
   memset (change, 0, sizeof *change);
   (void)g_strlcpy (change->data_centre, member->desc.data_centre, sizeof change->data_centre);
@@ -124,7 +124,7 @@
   LcWireMemberChange wire;
   LcMemberChange change;
 
-  lc_member__announced (slot->member, &change);
+  lc_member__make_announcement (slot->member, &change);
   lc_wire_member_change_write (&wire, &change);
   hello.member = &wire.message;
   (void)lc_link_send (link, LC_FRAME_MEMBER_HELLO, &hello.base);
@@ -142,17 +142,17 @@
       slot->is_subscribed = false; /* retried at a tick */
       return;
     }
-  lc_member__scope (member, &scope);
+  lc_member__make_scope (member, &scope);
   lc_wire_member_subscribe_write (&message, &scope, lc_view_sync_from (&member->sync));
   slot->is_subscribed =
       lc_link_send (lc_member__link (slot), LC_FRAME_MEMBER_SUBSCRIBE, &message.base) == 0;
-  slot->subscribe_at_us = now_us + LC_MEMBER_ASK_AGAIN_MS * LC_US_PER_MS;
+  slot->subscribe_at_us = now_us + LC_MEMBER_RESUBSCRIBE_MS * LC_US_PER_MS;
 }
 
 /* Only the first connected watcher counts this member, so that folds don't count it twice.  Every
  * control VM makes its own fold, so each of them counts it. */
 static bool
-lc_member__counts_here (LcMember *member, uint32_t slot_index)
+lc_member__is_counted_at (LcMember *member, uint32_t slot_index)
 {
   for (uint32_t i = member->first_dynamic; i < slot_index; i++)
     if (member->slots[i].has_status && lc_member__link (&member->slots[i]) != NULL)
@@ -161,7 +161,7 @@
 }
 
 void
-lc_member__fold (LcMember *member, uint32_t slot_index, LcFold *fold)
+lc_member__make_fold (LcMember *member, uint32_t slot_index, LcFold *fold)
 {
   LcRevision applied = member->sync.view.revision;
 
@@ -175,7 +175,7 @@
       lc_member_serve_fold (member, fold);
       lc_fold_add_balancer (fold, applied, applied);
     }
-  if (lc_member__counts_here (member, slot_index))
+  if (lc_member__is_counted_at (member, slot_index))
     return;
   fold->n_agents = 0;
   fold->n_balancers = 0;
@@ -190,7 +190,7 @@
   Lc__Wire__MemberFold wire;
   LcFold fold;
 
-  lc_member__fold (member, lc_member__index (slot), &fold);
+  lc_member__make_fold (member, lc_member__index (slot), &fold);
   lc_wire_member_fold_write (&wire, &fold);
   message.name = (char *)lc_member__name (member);
   message.instance = lc_member_instance (member);
@@ -215,7 +215,7 @@
 /* === private: the view ====================================================================== */
 
 static void
-lc_member__note_self (LcMember *member, int64_t now_us)
+lc_member__record_listing (LcMember *member, int64_t now_us)
 {
   const LcEndpoint *mine = lc_member_endpoint (member);
 
@@ -232,19 +232,19 @@
   if (lc_log_allow (&member->view_limit, now_us, LC_MEMBER_VIEW_LOG_PER_S))
     LC_INFO ("view.applied", "revision", LC_U64 (member->sync.view.revision), "operations",
              LC_U64 (n_ops), "is_whole", LC_U64 (is_reset), "view_age_ms",
-             LC_I64 (lc_member_silence_us (member, now_us) / LC_US_PER_MS), "left_out",
+             LC_I64 (lc_member_view_age_us (member, now_us) / LC_US_PER_MS), "left_out",
              LC_U64 (member->view_limit.suppressed_total));
 }
 
 static void
-lc_member__view_changed (LcMember *member, const LcViewOp *ops, size_t n_ops, bool is_reset)
+lc_member__handle_view_change (LcMember *member, const LcViewOp *ops, size_t n_ops, bool is_reset)
 {
   const LcView *view = &member->sync.view;
 
   lc_metric_set (member->revision_gauge, (int64_t)view->revision);
   lc_member__log_view (member, n_ops, is_reset);
   if (member->desc.kind == LC_MEMBER_AGENT)
-    lc_member__note_self (member, lc_clock_now_us ());
+    lc_member__record_listing (member, lc_clock_now_us ());
   else if (is_reset)
     lc_view_server_reset (&member->server);
   else
@@ -255,11 +255,11 @@
 }
 
 static void
-lc_member__take_result (LcMemberSlot *slot,
-                        LcSyncResult result,
-                        const LcViewOp *ops,
-                        size_t n_ops,
-                        const LcError *error)
+lc_member__handle_sync_result (LcMemberSlot *slot,
+                               LcSyncResult result,
+                               const LcViewOp *ops,
+                               size_t n_ops,
+                               const LcError *error)
 {
   LcMember *member = slot->member;
   size_t skipped = member->sync.n_skipped;
@@ -267,15 +267,15 @@
   switch (result)
     {
     case LC_SYNC_APPLIED:
-      lc_member__view_changed (member, ops + skipped, n_ops - skipped, false);
+      lc_member__handle_view_change (member, ops + skipped, n_ops - skipped, false);
       break;
     case LC_SYNC_REPLACED:
       LC_INFO ("member.snapshot", "revision", LC_U64 (member->sync.view.revision));
-      lc_member__view_changed (member, NULL, 0, true);
+      lc_member__handle_view_change (member, NULL, 0, true);
       break;
     case LC_SYNC_RESUBSCRIBE:
       if (error->message[0] != '\0')
-        lc_member_note_malformed (member, "view operation", error);
+        lc_member_record_malformed (member, "view operation", error);
       lc_member__subscribe (slot, lc_clock_now_us ());
       break;
     case LC_SYNC_STAGED:
@@ -294,7 +294,7 @@
   for (size_t i = 0; i < n_ops; i++)
     if (lc_wire_view_op_read (&ops[i], wire[i], &error) < 0)
       {
-        lc_member_note_malformed (member, "view operation", &error);
+        lc_member_record_malformed (member, "view operation", &error);
         g_free (ops);
         return NULL;
       }
@@ -318,7 +318,7 @@
       LcSyncResult result = lc_view_sync_delta (&member->sync, delta->from_revision,
                                                 delta->to_revision, ops, delta->n_ops, &error);
 
-      lc_member__take_result (slot, result, ops, delta->n_ops, &error);
+      lc_member__handle_sync_result (slot, result, ops, delta->n_ops, &error);
     }
   g_free (ops);
   lc__wire__view_delta__free_unpacked (delta, NULL);
@@ -342,7 +342,7 @@
           lc_view_sync_part (&member->sync, lc_member__index (slot), part->revision, part->part,
                              part->last, ops, part->n_ops, &error);
 
-      lc_member__take_result (slot, result, ops, part->n_ops, &error);
+      lc_member__handle_sync_result (slot, result, ops, part->n_ops, &error);
     }
   g_free (ops);
   lc__wire__view_snapshot_part__free_unpacked (part, NULL);
@@ -367,7 +367,7 @@
   slot->revision = status->revision;
   if (status->revision > 0)
     lc_first_view_record_offer (&member->first_view, now_us);
-  lc_member_note_revision (member, status->revision);
+  lc_member_record_revision (member, status->revision);
   slot->is_leader = status->is_leader;
   slot->is_standby = status->stands_by;
   slot->is_confirmed = status->is_confirmed;
@@ -382,7 +382,7 @@
     }
   if (status->is_confirmed && slot->is_subscribed && member->sync.view.revision > 0)
     member->is_confirmed = true;
-  lc_member_learn_control (member, control, lc_wire_member_control_read (control, status));
+  lc_member_add_control (member, control, lc_wire_member_control_read (control, status));
   if (status->needs_hello && !member->is_unregistered)
     lc_member__send_hello (slot, lc_member__link (slot));
   lc__wire__member_status__free_unpacked (status, NULL);
@@ -466,7 +466,7 @@
 }
 
 void
-lc_member__hello_all (LcMember *member)
+lc_member__send_hello_all (LcMember *member)
 {
   for (uint32_t i = 0; i < member->n_slots; i++)
     if (lc_member__link (&member->slots[i]) != NULL)
--- a/src/controller/lc-member.c
+++ b/src/controller/lc-member.c
@@ -10,15 +10,15 @@
 enum
 {
   LC_MEMBER_TICK_MS = 100,
-  LC_MEMBER_FIRST_TICK_MS = 20,       /* while a first view is offered: a third of its wait */
-  LC_MEMBER_SOON_MS = 2,              /* batches events that come together */
-  LC_MEMBER_LEAVE_PATIENCE_MS = 5000, /* without a frame, leaving waits no longer */
+  LC_MEMBER_FIRST_TICK_MS = 20,      /* while a first view is offered: a third of its wait */
+  LC_MEMBER_BATCH_MS = 2,            /* batches events that come together */
+  LC_MEMBER_LEAVE_TIMEOUT_MS = 5000, /* without a frame, leaving waits no longer */
 };
 
 /* === private: the tick ====================================================================== */
 
 static void
-lc_member__note_ramp (LcMember *member, int64_t now_us)
+lc_member__update_ramp (LcMember *member, int64_t now_us)
 {
   if (member->desc.kind != LC_MEMBER_AGENT || member->is_ramped || member->listed_us == 0)
     return;
@@ -29,11 +29,11 @@
 }
 
 static void
-lc_member__note_acks (LcMember *member)
+lc_member__update_acks (LcMember *member)
 {
   LcFold fold;
 
-  lc_member__fold (member, 0, &fold);
+  lc_member__make_fold (member, 0, &fold);
   if (lc_fold_equal (&fold, &member->sent_fold))
     return;
   member->sent_fold = fold;
@@ -41,7 +41,7 @@
 }
 
 static void
-lc_member__renew_due (LcMember *member, int64_t now_us)
+lc_member__send_due_renewals (LcMember *member, int64_t now_us)
 {
   for (uint32_t i = 0; i < member->n_slots; i++)
     {
@@ -53,7 +53,7 @@
 }
 
 static bool
-lc_member__awaits_view (const LcMember *member)
+lc_member__is_awaiting_view (const LcMember *member)
 {
   return member->sync.view.revision == 0 && member->first_view.offered_us != 0;
 }
@@ -70,24 +70,24 @@
   else
     {
       lc_member__list_balancers (member, now_us);
-      lc_member__choose_moving (member, &member->upstreams, now_us);
+      lc_member__choose_dynamic (member, &member->upstreams, now_us);
     }
   lc_member__choose_primary (member, now_us);
-  lc_member__subscribe_due (member, now_us);
-  lc_member__note_ramp (member, now_us);
+  lc_member__send_due_subscriptions (member, now_us);
+  lc_member__update_ramp (member, now_us);
   if (member->desc.kind == LC_MEMBER_BALANCER)
     lc_member_serve_tick (member, now_us);
-  lc_member__note_acks (member);
-  lc_member__renew_due (member, now_us);
-  lc_metric_set (member->view_age_gauge, lc_member_silence_us (member, now_us) / LC_US_PER_MS);
-  lc_timer_start (&member->tick,
-                  lc_member__awaits_view (member) ? LC_MEMBER_FIRST_TICK_MS : LC_MEMBER_TICK_MS);
+  lc_member__update_acks (member);
+  lc_member__send_due_renewals (member, now_us);
+  lc_metric_set (member->view_age_gauge, lc_member_view_age_us (member, now_us) / LC_US_PER_MS);
+  lc_timer_start (&member->tick, lc_member__is_awaiting_view (member) ? LC_MEMBER_FIRST_TICK_MS
+                                                                      : LC_MEMBER_TICK_MS);
 }
 
 void
 lc_member__tick_soon (LcMember *member)
 {
-  lc_timer_hasten (&member->tick, LC_MEMBER_SOON_MS);
+  lc_timer_ensure_within (&member->tick, LC_MEMBER_BATCH_MS);
 }
 
 /* === public: lifetime ======================================================================= */
@@ -137,7 +137,7 @@
   member->started_us = lc_clock_now_us ();
   member->first_view.started_us = member->started_us;
   member->first_dynamic = desc->kind == LC_MEMBER_AGENT ? 0 : LC_CONTROL_VMS_MAX;
-  member->n_slots = member->first_dynamic + LC_MEMBER_MOVING_SLOTS;
+  member->n_slots = member->first_dynamic + LC_MEMBER_DYNAMIC_SLOTS;
   for (uint32_t i = 0; i < member->n_slots; i++)
     {
       member->slots[i].member = member;
@@ -194,7 +194,7 @@
 }
 
 void
-lc_member_note_revision (LcMember *member, LcRevision revision)
+lc_member_record_revision (LcMember *member, LcRevision revision)
 {
   lc_staleness_note (&member->staleness, revision);
 }
@@ -218,7 +218,7 @@
 }
 
 bool
-lc_member_resume (LcMember *member)
+lc_member_adopt_instance (LcMember *member)
 {
   const LcEndpoint *e = lc_member_own_endpoint (member);
 
@@ -243,17 +243,17 @@
       member->is_ramped = false;
       member->listed_us = 0;
     }
-  lc_member__hello_all (member);
+  lc_member__send_hello_all (member);
 }
 
 void
-lc_member_keep (LcMember *member)
+lc_member_keep_registration (LcMember *member)
 {
   member->keeps_registration = true;
 }
 
 static bool
-lc_member__knows (const LcMember *member, const LcSocketAddress *address)
+lc_member__has_control (const LcMember *member, const LcSocketAddress *address)
 {
   for (uint32_t i = 0; i < member->n_seeds; i++)
     if (member->seeds[i].ipv4 == address->ipv4 && member->seeds[i].port == address->port)
@@ -263,7 +263,7 @@
 
 /* Index for a new control VM: behind the others, or that of one that is unreachable. */
 static uint32_t
-lc_member__seed_place (const LcMember *member, int64_t now_us)
+lc_member__control_index (const LcMember *member, int64_t now_us)
 {
   if (member->n_seeds < LC_CONTROL_VMS_MAX)
     return member->n_seeds;
@@ -274,32 +274,32 @@
 }
 
 static void
-lc_member__learn_one (LcMember *member, const LcSocketAddress *address, int64_t now_us)
+lc_member__add_one_control (LcMember *member, const LcSocketAddress *address, int64_t now_us)
 {
-  uint32_t place = lc_member__seed_place (member, now_us);
+  uint32_t place = lc_member__control_index (member, now_us);
 
   LC_INFO ("member.control-learned", "ipv4", LC_U64 (address->ipv4), "port",
            LC_U64 (address->port));
   member->seeds[place] = *address;
   member->n_seeds = MAX (member->n_seeds, place + 1);
   if (member->desc.kind == LC_MEMBER_BALANCER)
-    lc_member__place_control (member, place, address, now_us);
+    lc_member__set_control_address (member, place, address, now_us);
   else if (member->sync.view.revision == 0)
     lc_member__list_seeds (member);
 }
 
 void
-lc_member_learn_control (LcMember *member, const LcSocketAddress *list, uint32_t n)
+lc_member_add_control (LcMember *member, const LcSocketAddress *list, uint32_t n)
 {
   int64_t now_us = lc_clock_now_us ();
 
   for (uint32_t i = 0; i < n; i++)
-    if (list[i].ipv4 != 0 && list[i].port != 0 && !lc_member__knows (member, &list[i]))
-      lc_member__learn_one (member, &list[i], now_us);
+    if (list[i].ipv4 != 0 && list[i].port != 0 && !lc_member__has_control (member, &list[i]))
+      lc_member__add_one_control (member, &list[i], now_us);
 }
 
 uint32_t
-lc_member_control (const LcMember *member, LcSocketAddress *out, uint32_t max)
+lc_member_list_control (const LcMember *member, LcSocketAddress *out, uint32_t max)
 {
   uint32_t n = MIN (member->n_seeds, max);
 
@@ -314,7 +314,7 @@
 }
 
 int64_t
-lc_member_silence_us (const LcMember *member, int64_t now_us)
+lc_member_view_age_us (const LcMember *member, int64_t now_us)
 {
   return member->confirmed_us != 0 ? now_us - member->confirmed_us : -1;
 }
@@ -328,24 +328,24 @@
 /* === public: frames of the peer server ====================================================== */
 
 void
-lc_member_frame (LcMember *member, LcLink *link, const LcFrame *frame)
+lc_member_handle_frame (LcMember *member, LcLink *link, const LcFrame *frame)
 {
   if (member->desc.kind == LC_MEMBER_BALANCER && member->server.subscribers != NULL)
-    lc_member_serve_frame (member, link, frame);
+    lc_member_serve_handle_frame (member, link, frame);
   else
     lc_link_close (link, "membership is not served here");
 }
 
 void
-lc_member_link_down (LcMember *member, LcLink *link)
+lc_member_handle_link_down (LcMember *member, LcLink *link)
 {
   if (member->desc.kind == LC_MEMBER_BALANCER && member->server.subscribers != NULL)
-    lc_member_serve_link_down (member, link);
+    lc_member_serve_handle_link_down (member, link);
 }
 
 /* Transitions go to the leader of control if it is known, else to the source of the view. */
 LcLink *
-lc_member_report_link (LcMember *member, int64_t now_us)
+lc_member_select_report_link (LcMember *member, int64_t now_us)
 {
   LcMemberSlot *best = NULL;
 
@@ -374,7 +374,7 @@
 }
 
 static bool
-lc_member__is_out (const LcMember *member)
+lc_member__is_withdrawn (const LcMember *member)
 {
   const LcView *view = &member->sync.view;
   const LcBalancer *b;
@@ -396,11 +396,11 @@
 lc_member_has_left (const LcMember *member)
 {
   int64_t now_us = lc_clock_now_us ();
-  int64_t timeout_us = LC_MEMBER_LEAVE_PATIENCE_MS * LC_US_PER_MS;
+  int64_t timeout_us = LC_MEMBER_LEAVE_TIMEOUT_MS * LC_US_PER_MS;
 
   if (member->phase == LC_MEMBER_PHASE_LIVE)
     return false;
-  if (lc_member__is_out (member))
+  if (lc_member__is_withdrawn (member))
     return true;
   if (now_us - member->leave_started_us < timeout_us)
     return false;
--- a/src/controller/lc-member.h
+++ b/src/controller/lc-member.h
@@ -18,14 +18,14 @@
  * HOW TO USE IT
  *     lc_member_init (&member, &desc, &error);
  *     lc_member_view (&member)                          the newest view
- *     lc_member_frame (&member, link, frame)     frames 100..199 of the peer server
- *     lc_member_link_down (&member, link)
+ *     lc_member_handle_frame (&member, link, frame)     frames 100..199 of the peer server
+ *     lc_member_handle_link_down (&member, link)
  *     lc_member_leave (&member)                         begins a planned stop
  *     lc_member_has_left (&member)                      the leaving is committed and in this view
  *     lc_member_finish (&member);
  *
  * LOSS OF ALL UPSTREAMS
- *   The view is kept; lc_member_silence_us reports its age.
+ *   The view is kept; lc_member_view_age_us reports its age.
  *
  * THREADS
  *   Everything runs on app->loop's thread, also `changed`, after each batch of operations.
@@ -51,8 +51,8 @@
 
 enum
 {
-  LC_MEMBER_MOVING_SLOTS = 2, /* watchers of an agent, relays of a balancer */
-  LC_MEMBER_MAX_SLOTS = LC_CONTROL_VMS_MAX + LC_MEMBER_MOVING_SLOTS,
+  LC_MEMBER_DYNAMIC_SLOTS = 2, /* watchers of an agent, relays of a balancer */
+  LC_MEMBER_MAX_SLOTS = LC_CONTROL_VMS_MAX + LC_MEMBER_DYNAMIC_SLOTS,
 };
 
 typedef struct
@@ -125,7 +125,7 @@
   int64_t started_us;
   LcFirstView first_view;
   int64_t last_frame_us;    /* last frame from any upstream; 0: none */
-  bool was_isolated;        /* lc_member__is_lost when the upstreams were listed */
+  bool was_isolated;        /* lc_member__is_isolated when the upstreams were listed */
   int64_t leave_started_us; /* when the planned stop began; 0: not yet */
   int64_t listed_us;        /* when the view first listed this endpoint; 0: not yet */
   int64_t confirmed_us;     /* when control last confirmed the view; 0: never */
@@ -154,34 +154,34 @@
 void lc_member_finish (LcMember *member);
 const LcView *lc_member_view (const LcMember *member);
 /* Records that a packet or message carried this revision, to detect a stale view. */
-void lc_member_note_revision (LcMember *member, LcRevision revision);
+void lc_member_record_revision (LcMember *member, LcRevision revision);
 /* This agent's endpoint in the view; NULL before it is committed. */
 const LcEndpoint *lc_member_endpoint (const LcMember *member);
 /* The same if service and address match; its instance may be that of an earlier process. */
 const LcEndpoint *lc_member_own_endpoint (const LcMember *member);
 /* Agents before lc_member_announce: adopts the instance that the view lists for this endpoint, so
  * that a restarted agent keeps its identity.  False: the view lists none that matches. */
-bool lc_member_resume (LcMember *member);
+bool lc_member_adopt_instance (LcMember *member);
 /* Agents: registers the endpoint with this instance and number of slots (0: unchanged). */
 void lc_member_announce (LcMember *member, LcInstance instance, uint8_t slots);
 /* The endpoint stays registered when this process ends: another process takes over. */
-void lc_member_keep (LcMember *member);
+void lc_member_keep_registration (LcMember *member);
 /* Adds addresses to start from: replaced control VMs have other addresses than in the settings.  A
  * balancer connects to them; an agent tries them when it has lost its balancers. */
-void lc_member_learn_control (LcMember *member, const LcSocketAddress *list, uint32_t n);
+void lc_member_add_control (LcMember *member, const LcSocketAddress *list, uint32_t n);
 /* Copies the known ones to `out`; returns their number. */
-uint32_t lc_member_control (const LcMember *member, LcSocketAddress *out, uint32_t max);
+uint32_t lc_member_list_control (const LcMember *member, LcSocketAddress *out, uint32_t max);
 /* Instance of this agent or balancer. */
 LcInstance lc_member_instance (const LcMember *member);
-void lc_member_frame (LcMember *member, LcLink *link, const LcFrame *frame);
-void lc_member_link_down (LcMember *member, LcLink *link);
+void lc_member_handle_frame (LcMember *member, LcLink *link, const LcFrame *frame);
+void lc_member_handle_link_down (LcMember *member, LcLink *link);
 void lc_member_leave (LcMember *member);
 bool lc_member_has_left (const LcMember *member);
 /* Agents: every owned flow is registered with its homes of this revision.  Acknowledged upstream,
  * folded there, and used by control to settle former candidate sets. */
 void lc_member_set_registered (LcMember *member, LcRevision revision);
 /* Time since control last confirmed this view, directly or through relays; -1: never. */
-int64_t lc_member_silence_us (const LcMember *member, int64_t now_us);
+int64_t lc_member_view_age_us (const LcMember *member, int64_t now_us);
 /* Whether the view is known to come from control, and not from a neighbour that has had no contact
  * with control since its start. */
 bool lc_member_is_confirmed (const LcMember *member);
--- a/src/controller/lc-view-server.c
+++ b/src/controller/lc-view-server.c
@@ -78,7 +78,7 @@
 /* === private: subscribers =================================================================== */
 
 static void
-lc_view_server__resolve (const LcViewServer *server, LcSubscriber *sub)
+lc_view_server__resolve_scope (const LcViewServer *server, LcSubscriber *sub)
 {
   lc_scope_resolve (&sub->scope, server->desc.view);
   sub->scope_revision = server->desc.view->revision;
@@ -125,7 +125,7 @@
     }
   if (sub->scope.is_scoped)
     {
-      lc_view_server__resolve (server, sub);
+      lc_view_server__resolve_scope (server, sub);
       sub->snapshot = lc_snapshot_cache__new (&sub->scope, server->desc.view);
     }
   else
@@ -164,7 +164,7 @@
 /* === private: deltas ======================================================================== */
 
 static size_t
-lc_view_server__count_wanted (const LcViewServer *server, const LcSubscriber *sub)
+lc_view_server__count_delta_ops (const LcViewServer *server, const LcSubscriber *sub)
 {
   LcScope scope = sub->scope;
   size_t n = 0;
@@ -177,7 +177,7 @@
 }
 
 static bool
-lc_view_server__delta_is_best (const LcViewServer *server, const LcSubscriber *sub)
+lc_view_server__prefers_delta (const LcViewServer *server, const LcSubscriber *sub)
 {
   size_t n;
 
@@ -186,7 +186,7 @@
   /* It had a newer revision than this server, so its scope may lack ids from those operations. */
   if (sub->scope.is_scoped && sub->scope_revision < sub->sent_revision)
     return false;
-  n = lc_view_server__count_wanted (server, sub);
+  n = lc_view_server__count_delta_ops (server, sub);
   return n < LC_VIEW_SERVER_SMALL_OPS ||
          n <= lc_scope_snapshot_ops (&sub->scope, server->desc.view);
 }
@@ -215,7 +215,7 @@
 
 /* Subscribers of the whole view are mostly at the same revision and share one encoding. */
 static GByteArray *
-lc_view_server__delta (LcViewServer *server, LcSubscriber *sub)
+lc_view_server__get_delta (LcViewServer *server, LcSubscriber *sub)
 {
   if (sub->scope.is_scoped)
     return lc_view_server__encode_delta (server, sub);
@@ -232,7 +232,7 @@
 static void
 lc_view_server__send_delta (LcViewServer *server, LcSubscriber *sub)
 {
-  GByteArray *bytes = lc_view_server__delta (server, sub);
+  GByteArray *bytes = lc_view_server__get_delta (server, sub);
 
   if (lc_link_send_bytes (sub->link, LC_FRAME_MEMBER_DELTA, bytes->data, bytes->len) == 0)
     {
@@ -254,7 +254,7 @@
     return true;
   if (lc_link_backlog_bytes (sub->link) >= LC_VIEW_SERVER_BACKLOG_BYTES)
     return true;
-  if (sub->snapshot == NULL && lc_view_server__delta_is_best (server, sub))
+  if (sub->snapshot == NULL && lc_view_server__prefers_delta (server, sub))
     {
       lc_view_server__send_delta (server, sub);
       return true;
@@ -287,7 +287,7 @@
 
 /* Subscribers of the whole view are served first, because they relay it to others. */
 static void
-lc_view_server__take_turn (LcViewServer *server, LcSubscriber *sub)
+lc_view_server__enqueue (LcViewServer *server, LcSubscriber *sub)
 {
   GQueue *queue = sub->scope.is_scoped ? &server->scoped_queue : &server->whole_queue;
 
@@ -296,7 +296,7 @@
 }
 
 static void
-lc_view_server__leave_turn (LcViewServer *server, LcSubscriber *sub)
+lc_view_server__dequeue (LcViewServer *server, LcSubscriber *sub)
 {
   g_queue_delete_link (sub->scope.is_scoped ? &server->scoped_queue : &server->whole_queue,
                        sub->queue_link);
@@ -341,7 +341,7 @@
 
 /* Serves a queue from its head until the time slice is over or each was served once. */
 static void
-lc_view_server__serve_turns (LcViewServer *server,
+lc_view_server__serve_queue (LcViewServer *server,
                              GQueue *queue,
                              size_t *unsent_bytes,
                              int64_t started_us)
@@ -357,7 +357,7 @@
       g_queue_push_tail_link (queue, g_queue_pop_head_link (queue));
       if (!lc_view_server__serve (server, sub))
         {
-          lc_view_server__leave_turn (server, sub);
+          lc_view_server__dequeue (server, sub);
           g_hash_table_remove (server->subscribers, sub->link);
           continue;
         }
@@ -366,7 +366,7 @@
 }
 
 static bool
-lc_view_server__is_anybody_waiting (const LcViewServer *server)
+lc_view_server__has_waiting (const LcViewServer *server)
 {
   GHashTableIter iter;
   gpointer value;
@@ -386,11 +386,11 @@
   size_t unsent_bytes = lc_view_server__unsent_bytes (server);
 
   server->is_flush_armed = false;
-  lc_view_server__serve_turns (server, &server->whole_queue, &unsent_bytes, started_us);
-  lc_view_server__serve_turns (server, &server->scoped_queue, &unsent_bytes, started_us);
+  lc_view_server__serve_queue (server, &server->whole_queue, &unsent_bytes, started_us);
+  lc_view_server__serve_queue (server, &server->scoped_queue, &unsent_bytes, started_us);
   lc_view_server__drop_shared (server);
   server->n_recent_refusals -= server->n_recent_refusals / 16;
-  if (lc_view_server__is_anybody_waiting (server))
+  if (lc_view_server__has_waiting (server))
     lc_view_server__arm_after (server, lc_flush_pause_ms (lc_clock_now_us () - started_us));
   else
     lc_view_server__drop_idle_cache (server);
@@ -446,24 +446,24 @@
       g_hash_table_insert (server->subscribers, link, sub);
     }
   else
-    lc_view_server__leave_turn (server, sub);
+    lc_view_server__dequeue (server, sub);
   lc_view_server__end_snapshot (server, sub);
   sub->scope = *scope;
-  lc_view_server__take_turn (server, sub);
-  lc_view_server__resolve (server, sub);
+  lc_view_server__enqueue (server, sub);
+  lc_view_server__resolve_scope (server, sub);
   sub->sent_revision = from;
   lc_view_server__arm (server);
 }
 
 void
-lc_view_server_greeted (LcViewServer *server, LcLink *link)
+lc_view_server_add_waiting (LcViewServer *server, LcLink *link)
 {
   if (server->desc.view->revision == 0)
     (void)g_hash_table_add (server->waiting, link);
 }
 
 void
-lc_view_server_tell_waiting (LcViewServer *server)
+lc_view_server_notify_waiting (LcViewServer *server)
 {
   gpointer *links;
   guint n;
@@ -479,10 +479,10 @@
 }
 
 static void
-lc_view_server__tell_first_view (LcViewServer *server)
+lc_view_server__notify_first_view (LcViewServer *server)
 {
   if (server->desc.view->revision > 0)
-    lc_view_server_tell_waiting (server);
+    lc_view_server_notify_waiting (server);
 }
 
 void
@@ -491,7 +491,7 @@
   for (size_t i = 0; i < n_ops; i++)
     (void)lc_op_log_append (&server->log, &ops[i]);
   lc_view_server__arm (server);
-  lc_view_server__tell_first_view (server);
+  lc_view_server__notify_first_view (server);
 }
 
 void
@@ -508,11 +508,11 @@
     lc_snapshot_cache__release (server->cache);
   server->cache = NULL;
   lc_view_server__arm (server);
-  lc_view_server__tell_first_view (server);
+  lc_view_server__notify_first_view (server);
 }
 
 void
-lc_view_server_link_down (LcViewServer *server, LcLink *link)
+lc_view_server_handle_link_down (LcViewServer *server, LcLink *link)
 {
   LcSubscriber *sub = g_hash_table_lookup (server->subscribers, link);
 
@@ -520,6 +520,6 @@
   if (sub == NULL)
     return;
   lc_view_server__end_snapshot (server, sub);
-  lc_view_server__leave_turn (server, sub);
+  lc_view_server__dequeue (server, sub);
   g_hash_table_remove (server->subscribers, link);
 }
--- a/src/controller/lc-view-server.h
+++ b/src/controller/lc-view-server.h
@@ -10,8 +10,8 @@
  *     lc_view_server_subscribe (&server, link, from_revision, &scope);
  *     lc_view_server_publish (&server, ops, n_ops);        after they were applied to the view
  *     lc_view_server_reset (&server);                      after the view was replaced
- *     lc_view_server_greeted (&server, link);          while there is no view: see first_view
- *     lc_view_server_link_down (&server, link);
+ *     lc_view_server_add_waiting (&server, link);          while there is no view: see first_view
+ *     lc_view_server_handle_link_down (&server, link);
  *     lc_view_server_finish (&server);
  *
  * LIMITS
@@ -38,7 +38,7 @@
   uint32_t max_snapshots; /* 0: 16 */
   size_t max_ops;         /* capacity of the log; 0: see lc-op-log */
   void *user;
-  /* Called for each waiting link when there is a view, or by lc_view_server_tell_waiting, so that
+  /* Called for each waiting link when there is a view, or by lc_view_server_notify_waiting, so that
    * a member need not wait for its next renewal a second later.  May be NULL. */
   void (*first_view) (void *user, LcLink *link);
 } LcViewServerDesc;
@@ -76,9 +76,9 @@
 void lc_view_server_publish (LcViewServer *server, const LcViewOp *ops, size_t n_ops);
 void lc_view_server_reset (LcViewServer *server);
 /* Adds a link that waits for a view; no effect when there is one. */
-void lc_view_server_greeted (LcViewServer *server, LcLink *link);
+void lc_view_server_add_waiting (LcViewServer *server, LcLink *link);
 /* Calls `first_view` for each waiting link, once. */
-void lc_view_server_tell_waiting (LcViewServer *server);
-void lc_view_server_link_down (LcViewServer *server, LcLink *link);
+void lc_view_server_notify_waiting (LcViewServer *server);
+void lc_view_server_handle_link_down (LcViewServer *server, LcLink *link);
 
 #endif /* LC_VIEW_SERVER_H */
