--- a/src/io/lc-app.c
+++ b/src/io/lc-app.c
@@ -12,20 +12,21 @@
 {
   LC_APP_LOOP_WAIT_MS = 50, /* bounds the delay until a signal or idleness is noticed */
   LC_APP_MAX_ERRORS = 20,
-  LC_APP_LOOK_MS = 2000, /* between checks of the settings file: changes apply within seconds */
+  /* between checks of the settings file: changes apply within seconds */
+  LC_APP_SETTINGS_CHECK_MS = 2000,
 };
 
 /* Counts of signals; a signal handler can only reach globals. */
-static volatile sig_atomic_t lc_app__signals;
-static volatile sig_atomic_t lc_app__hang_ups;
+static volatile sig_atomic_t lc_app__stop_signals;
+static volatile sig_atomic_t lc_app__reload_signals;
 
 static void
 lc_app__on_signal (int number)
 {
   if (number == SIGHUP)
-    lc_app__hang_ups++;
+    lc_app__reload_signals++;
   else
-    lc_app__signals++;
+    lc_app__stop_signals++;
 }
 
 static void
@@ -61,7 +62,7 @@
 }
 
 static int
-lc_app__read (const LcApp *app, void *settings, LcError *error)
+lc_app__read_settings (const LcApp *app, void *settings, LcError *error)
 {
   const char *wrong = NULL;
   int r = lc_settings_load (app->desc.schema, settings, app->settings_path, error);
@@ -90,19 +91,19 @@
 }
 
 static int
-lc_app__load (LcApp *app)
+lc_app__load_settings (LcApp *app)
 {
   LcError error = { 0 };
 
   app->settings_hash = lc_app__hash_file (app);
-  if (lc_app__read (app, app->desc.settings, &error) == 0)
+  if (lc_app__read_settings (app, app->desc.settings, &error) == 0)
     return LC_APP_RUN;
   lc_error_print (stderr, &error);
   return LC_ERR_INVALID;
 }
 
 static int
-lc_app__act (LcApp *app, const LcAppArgs *args, void **table, int n_errors)
+lc_app__run_options (LcApp *app, const LcAppArgs *args, void **table, int n_errors)
 {
   int level = LC_LOG_INFO;
 
@@ -139,7 +140,7 @@
     }
   app->log_level = (LcLogLevel)level;
   (void)g_strlcpy (app->settings_path, args->settings->filename[0], sizeof app->settings_path);
-  if (lc_app__load (app) < 0)
+  if (lc_app__load_settings (app) < 0)
     return LC_ERR_INVALID;
   return args->check->count > 0 ? LC_APP_DONE : LC_APP_RUN;
 }
@@ -159,7 +160,7 @@
   void *table[] = { args.settings, args.check, args.print_settings, args.log_level, args.help,
                     args.version,  args.end };
   int n_errors = arg_parse (argc, argv, table);
-  int r = lc_app__act (app, &args, table, n_errors);
+  int r = lc_app__run_options (app, &args, table, n_errors);
 
   arg_freetable (table, G_N_ELEMENTS (table));
   return r;
@@ -209,7 +210,7 @@
   void *settings = g_malloc0 (app->desc.schema->size);
   LcError error = { 0 };
 
-  if (lc_app__read (app, settings, &error) < 0)
+  if (lc_app__read_settings (app, settings, &error) < 0)
     LC_WARN ("app.reload-refused", "message", LC_STR (error.message), "remedy",
              LC_STR (error.remedy), "meaning", LC_STR ("the previous settings stay in force"));
   else
@@ -223,16 +224,16 @@
 
 /* Reloads on SIGHUP, or when the periodic check finds the file changed. */
 static void
-lc_app__reload_due (LcApp *app, void *user)
+lc_app__reload_if_needed (LcApp *app, void *user)
 {
   int64_t now_us = lc_clock_now_us ();
-  bool is_requested = lc_app__hang_ups > 0;
+  bool is_requested = lc_app__reload_signals > 0;
   uint64_t hash;
 
   if (!is_requested && now_us < app->next_check_us)
     return;
-  lc_app__hang_ups = 0;
-  app->next_check_us = now_us + LC_APP_LOOK_MS * LC_US_PER_MS;
+  lc_app__reload_signals = 0;
+  app->next_check_us = now_us + LC_APP_SETTINGS_CHECK_MS * LC_US_PER_MS;
   hash = lc_app__hash_file (app);
   if (!is_requested && (hash == 0 || hash == app->settings_hash))
     return;
@@ -250,8 +251,8 @@
   for (;;)
     {
       (void)h2o_evloop_run (app->loop, LC_APP_LOOP_WAIT_MS);
-      lc_app__reload_due (app, user);
-      if (lc_app__signals == 0)
+      lc_app__reload_if_needed (app, user);
+      if (lc_app__stop_signals == 0)
         continue;
       if (!app->is_draining)
         lc_app__begin_drain (app, user, drain_limit_ms, on_drain);
@@ -260,7 +261,7 @@
           LC_INFO ("app.stopped");
           return 0;
         }
-      if (lc_app__signals > 1 || lc_clock_now_us () > app->drain_deadline_us)
+      if (lc_app__stop_signals > 1 || lc_clock_now_us () > app->drain_deadline_us)
         {
           LC_WARN ("app.drain-cut", "remedy", LC_STR ("raise drain_limit_ms or wait longer"));
           return -1;
--- a/src/io/lc-app.h
+++ b/src/io/lc-app.h
@@ -16,7 +16,7 @@
  *     lc_app_finish (&app);
  *
  * RELOAD
- *   On SIGHUP, and when the check every LC_APP_LOOK_MS finds the file changed, the
+ *   On SIGHUP, and when the check every LC_APP_SETTINGS_CHECK_MS finds the file changed, the
  *   settings are read and validated as a whole.  Invalid settings are logged and change nothing;
  *   valid ones are logged and passed to desc.reload, which logs what it applies.
  *
--- a/src/io/lc-burn-recorder.c
+++ b/src/io/lc-burn-recorder.c
@@ -47,7 +47,7 @@
 /* Gets or adds a service.  Its first sample is zero at the process's start, so that rates over its
  * first minute are exact. */
 static LcBurnService *
-lc_burn__service (LcBurnRecorder *burn, const char *name)
+lc_burn__get_service (LcBurnRecorder *burn, const char *name)
 {
   LcBurnService *service = g_hash_table_lookup (burn->services, name);
 
@@ -55,7 +55,7 @@
     return service;
   if (g_hash_table_size (burn->services) >= LC_BURN_MAX_SERVICES &&
       strcmp (name, LC_BURN_OTHER) != 0)
-    return lc_burn__service (burn, LC_BURN_OTHER);
+    return lc_burn__get_service (burn, LC_BURN_OTHER);
   service = g_new0 (LcBurnService, 1);
   lc_burn_ring_tick (&service->ring, 0, &service->counts);
   g_hash_table_insert (burn->services, g_strdup (name), service);
@@ -101,7 +101,7 @@
 lc_burn_add (LcBurnRecorder *burn, const char *service, LcBurnCounter counter, uint64_t n)
 {
   g_mutex_lock (&burn->lock);
-  lc_burn__service (burn, service)->counts.values[counter] += n;
+  lc_burn__get_service (burn, service)->counts.values[counter] += n;
   g_mutex_unlock (&burn->lock);
 }
 
--- a/src/io/lc-flow-meter.c
+++ b/src/io/lc-flow-meter.c
@@ -30,7 +30,7 @@
 }
 
 void
-lc_flow_meter_bring (LcFlowMeter *meter)
+lc_flow_meter_publish (LcFlowMeter *meter)
 {
   for (uint32_t i = 0; i < meter->n; i++)
     {
--- a/src/io/lc-flow-meter.h
+++ b/src/io/lc-flow-meter.h
@@ -7,7 +7,7 @@
  * HOW TO USE IT
  *     lc_flow_meter_add (&meter, &app->metrics, "lychee_flow_taken_total", "Flows taken", NULL,
  *                        &agent.counts.accepted_total);
- *     lc_flow_meter_bring (&meter);                       periodically
+ *     lc_flow_meter_publish (&meter);                       periodically
  *
  * LIFETIME
  *   The counters must outlive the meter.
@@ -45,6 +45,6 @@
                         const uint64_t *total);
 /* Adds lychee_flow_dropped_total for each LcDropReason, the index into `totals`. */
 void lc_flow_meter_add_drops (LcFlowMeter *meter, LcMetrics *metrics, const uint64_t *totals);
-void lc_flow_meter_bring (LcFlowMeter *meter);
+void lc_flow_meter_publish (LcFlowMeter *meter);
 
 #endif /* LC_FLOW_METER_H */
--- a/src/io/lc-http.c
+++ b/src/io/lc-http.c
@@ -17,7 +17,7 @@
 /* === private: answers ======================================================================= */
 
 static const char *
-lc_http__reason (int status)
+lc_http__reason_phrase (int status)
 {
   switch (status)
     {
@@ -58,7 +58,7 @@
   const char *type = content_type != NULL ? content_type : "application/json";
 
   req->res.status = status;
-  req->res.reason = lc_http__reason (status);
+  req->res.reason = lc_http__reason_phrase (status);
   req->res.content_length = len;
   h2o_add_header (&req->pool, &req->res.headers, H2O_TOKEN_CONTENT_TYPE, NULL, type, strlen (type));
   req->res.content_length = len;
@@ -66,7 +66,7 @@
 }
 
 static int
-lc_http__status (LcErrorCode code)
+lc_http__status_of_error (LcErrorCode code)
 {
   switch (code)
     {
@@ -113,7 +113,7 @@
   g_string_append (body, "\",\"remedy\":\"");
   lc_http__append_json (body, error->remedy);
   g_string_append (body, "\"}}\n");
-  lc_http_answer (req, lc_http__status (error->code), NULL, body->str, body->len);
+  lc_http_answer (req, lc_http__status_of_error (error->code), NULL, body->str, body->len);
   g_string_free (body, TRUE);
 }
 
--- a/src/io/lc-link-client.c
+++ b/src/io/lc-link-client.c
@@ -15,7 +15,7 @@
 /* === private: connecting ==================================================================== */
 
 static uint32_t
-lc_link_client__or (uint32_t value, uint32_t fallback)
+lc_link_client__or_default (uint32_t value, uint32_t fallback)
 {
   return value != 0 ? value : fallback;
 }
@@ -23,9 +23,9 @@
 /* Half of the back-off is random, so that the many clients of a lost server don't reconnect at the
  * same moment. */
 void
-lc_link_client__schedule (LcLinkClient *client)
+lc_link_client__schedule_connect (LcLinkClient *client)
 {
-  uint32_t max = lc_link_client__or (client->desc.backoff_max_ms, LC_LINK_BACKOFF_MAX_MS);
+  uint32_t max = lc_link_client__or_default (client->desc.backoff_max_ms, LC_LINK_BACKOFF_MAX_MS);
   uint32_t half = client->backoff_ms / 2;
   uint32_t wait_ms = half + (uint32_t)g_random_int_range (0, (gint32)half + 1);
 
@@ -44,7 +44,7 @@
   if (err != NULL)
     {
       h2o_socket_close (socket);
-      lc_link_client__schedule (client);
+      lc_link_client__schedule_connect (client);
       return;
     }
   link = lc_link__new (socket, client->desc.loop, &client->desc.handler,
@@ -54,7 +54,8 @@
   link->id = ++client->next_id;
   client->link = link;
   client->connects_total++;
-  client->backoff_ms = lc_link_client__or (client->desc.backoff_min_ms, LC_LINK_BACKOFF_MIN_MS);
+  client->backoff_ms =
+      lc_link_client__or_default (client->desc.backoff_min_ms, LC_LINK_BACKOFF_MIN_MS);
   lc_link__start (link);
 }
 
@@ -93,12 +94,12 @@
   client->connecting = lc_link_client__connect_from (client, &address);
   if (client->connecting == NULL)
     {
-      lc_link_client__schedule (client);
+      lc_link_client__schedule_connect (client);
       return;
     }
   client->connecting->data = client;
-  lc_timer_start (&client->timer,
-                  lc_link_client__or (client->desc.connect_timeout_ms, LC_LINK_CONNECT_TIMEOUT_MS));
+  lc_timer_start (&client->timer, lc_link_client__or_default (client->desc.connect_timeout_ms,
+                                                              LC_LINK_CONNECT_TIMEOUT_MS));
 }
 
 /* The timer is the connection timeout while connecting, else the back-off. */
@@ -114,7 +115,7 @@
     }
   h2o_socket_close (client->connecting);
   client->connecting = NULL;
-  lc_link_client__schedule (client);
+  lc_link_client__schedule_connect (client);
 }
 
 /* === public ================================================================================= */
@@ -124,7 +125,7 @@
 {
   memset (client, 0, sizeof *client);
   client->desc = *desc;
-  client->backoff_ms = lc_link_client__or (desc->backoff_min_ms, LC_LINK_BACKOFF_MIN_MS);
+  client->backoff_ms = lc_link_client__or_default (desc->backoff_min_ms, LC_LINK_BACKOFF_MIN_MS);
   lc_timer_init (&client->timer, desc->loop, lc_link_client__on_timer, client);
   lc_link_client__connect (client);
 }
@@ -142,7 +143,7 @@
 
 /* When finished in a callback of its own link, the link outlives the client: unlink them. */
 static void
-lc_link_client__detach (LcLinkClient *client)
+lc_link_client__detach_busy_link (LcLinkClient *client)
 {
   LcLink *link = client->link;
 
@@ -158,7 +159,7 @@
 lc_link_client_finish (LcLinkClient *client)
 {
   client->is_finished = true;
-  lc_link_client__detach (client);
+  lc_link_client__detach_busy_link (client);
   lc_link_client__stop (client, "client stops");
   lc_timer_finish (&client->timer);
 }
@@ -174,7 +175,8 @@
 {
   client->desc.ipv4 = ipv4;
   client->desc.port = port;
-  client->backoff_ms = lc_link_client__or (client->desc.backoff_min_ms, LC_LINK_BACKOFF_MIN_MS);
+  client->backoff_ms =
+      lc_link_client__or_default (client->desc.backoff_min_ms, LC_LINK_BACKOFF_MIN_MS);
   if (client->link != NULL)
     {
       lc_link_close (client->link, "peer changed"); /* schedules the next connect */
--- a/src/io/lc-link-private.h
+++ b/src/io/lc-link-private.h
@@ -43,6 +43,6 @@
                       const LcLinkKeepAlive *keep_alive);
 void lc_link__start (LcLink *link);
 /* Schedules the next connection attempt after the back-off. */
-void lc_link_client__schedule (LcLinkClient *client);
+void lc_link_client__schedule_connect (LcLinkClient *client);
 
 #endif /* LC_LINK_PRIVATE_H */
--- a/src/io/lc-link.c
+++ b/src/io/lc-link.c
@@ -25,7 +25,7 @@
 /* === private: teardown ====================================================================== */
 
 static void
-lc_link__unlist (LcLink *link)
+lc_link__remove_from_server (LcLink *link)
 {
   if (link->server == NULL)
     return;
@@ -52,7 +52,7 @@
   lc_timer_finish (&link->keep_alive_timer);
   h2o_socket_close (link->socket);
   link->socket = NULL;
-  lc_link__unlist (link);
+  lc_link__remove_from_server (link);
   if (client != NULL)
     client->link = NULL;
   link->is_busy = true;
@@ -60,7 +60,7 @@
     link->handler.down (link->handler.user, link, link->why);
   lc_link__free (link);
   if (client != NULL && !client->is_finished)
-    lc_link_client__schedule (client);
+    lc_link_client__schedule_connect (client);
 }
 
 /* Brackets each callback.  Callbacks may nest: only the outermost one destroys the link. */
@@ -134,7 +134,7 @@
 
 /* Handles frames of the keep-alive; false: the frame is for the link's handler. */
 static bool
-lc_link__take_own (LcLink *link, const LcFrame *frame)
+lc_link__handle_keep_alive (LcLink *link, const LcFrame *frame)
 {
   if (frame->type == LC_FRAME_LINK_PING)
     (void)lc_link_send_bytes (link, LC_FRAME_LINK_PONG, NULL, 0);
@@ -167,7 +167,7 @@
           break;
         }
       link->bytes_total += (uint64_t)n;
-      if (!lc_link__take_own (link, &frame))
+      if (!lc_link__handle_keep_alive (link, &frame))
         link->handler.frame (link->handler.user, link, &frame);
       if (!link->is_closing)
         h2o_buffer_consume (&socket->input, (size_t)n);
@@ -189,7 +189,7 @@
 /* === private: keep-alive ==================================================================== */
 
 static int64_t
-lc_link__silent_us (const LcLink *link)
+lc_link__silence_limit_us (const LcLink *link)
 {
   /* A server waits one period longer: its client pings only after a period of silence. */
   int64_t limit_ms =
@@ -201,7 +201,7 @@
 /* After a stall of this process, what the peer sent meanwhile is not read yet, so the stall is not
  * counted as silence of the peer. */
 static void
-lc_link__excuse_pause (LcLink *link, int64_t now_us)
+lc_link__discount_stall (LcLink *link, int64_t now_us)
 {
   if (now_us - link->last_check_us >= 2 * (int64_t)link->keep_alive.period_ms * LC_US_PER_MS)
     link->last_received_us =
@@ -216,8 +216,8 @@
   int64_t now_us = lc_clock_now_us ();
   int64_t period_us = (int64_t)link->keep_alive.period_ms * LC_US_PER_MS;
 
-  lc_link__excuse_pause (link, now_us);
-  if (now_us - link->last_received_us >= lc_link__silent_us (link))
+  lc_link__discount_stall (link, now_us);
+  if (now_us - link->last_received_us >= lc_link__silence_limit_us (link))
     {
       LC_WARN ("link.silent", "silent_ms",
                LC_I64 ((now_us - link->last_received_us) / LC_US_PER_MS), "remedy",
--- a/src/io/lc-log.c
+++ b/src/io/lc-log.c
@@ -97,7 +97,7 @@
 /* === private: GLib's writer ================================================================= */
 
 static const char *
-lc_log__find (const GLogField *fields, gsize n_fields, const char *key)
+lc_log__find_field (const GLogField *fields, gsize n_fields, const char *key)
 {
   for (gsize i = 0; i < n_fields; i++)
     if (strcmp (fields[i].key, key) == 0)
@@ -115,7 +115,7 @@
 
 /* A pipe that polls writable has room for these few hundred bytes and the line after them. */
 static void
-lc_log__tell_dropped (void)
+lc_log__report_dropped (void)
 {
   GString *line;
 
@@ -131,14 +131,14 @@
 }
 
 static void
-lc_log__put (const char *line)
+lc_log__write_line (const char *line)
 {
   size_t len = strlen (line);
 
   g_mutex_lock (&lc_log__state.lock);
   if (lc_log__has_room ())
     {
-      lc_log__tell_dropped ();
+      lc_log__report_dropped ();
       if (write (STDOUT_FILENO, line, len) != (gssize)len)
         lc_log__state.dropped_total++;
     }
@@ -149,10 +149,10 @@
 
 /* Lines of this module come complete in LC_LINE; a library's message is wrapped in an event. */
 static GLogWriterOutput
-lc_log__write (GLogLevelFlags flags, const GLogField *fields, gsize n_fields, gpointer user)
+lc_log__glib_writer (GLogLevelFlags flags, const GLogField *fields, gsize n_fields, gpointer user)
 {
-  const char *ready = lc_log__find (fields, n_fields, "LC_LINE");
-  const char *message = lc_log__find (fields, n_fields, "MESSAGE");
+  const char *ready = lc_log__find_field (fields, n_fields, "LC_LINE");
+  const char *message = lc_log__find_field (fields, n_fields, "MESSAGE");
   GString *line = NULL;
 
   (void)user;
@@ -162,14 +162,14 @@
       lc_log__append_field (line, "message", &LC_STR (message));
       g_string_append (line, "}\n");
     }
-  lc_log__put (ready != NULL ? ready : line->str);
+  lc_log__write_line (ready != NULL ? ready : line->str);
   if (line != NULL)
     g_string_free (line, TRUE);
   return G_LOG_WRITER_HANDLED;
 }
 
 static GLogLevelFlags
-lc_log__flags (LcLogLevel level)
+lc_log__glib_level (LcLogLevel level)
 {
   switch (level)
     {
@@ -198,7 +198,7 @@
   (void)g_strlcpy (lc_log__state.name, name, sizeof lc_log__state.name);
   if (g_once_init_enter (&is_installed))
     {
-      g_log_set_writer_func (lc_log__write, NULL, NULL);
+      g_log_set_writer_func (lc_log__glib_writer, NULL, NULL);
       g_once_init_leave (&is_installed, 1);
     }
 }
@@ -248,7 +248,7 @@
 
   g_string_append (line, "}\n");
   field.value = line->str;
-  g_log_structured_array (lc_log__flags (level), &field, 1);
+  g_log_structured_array (lc_log__glib_level (level), &field, 1);
   g_string_free (line, TRUE);
 }
 
--- a/src/io/lc-packet-format.c
+++ b/src/io/lc-packet-format.c
@@ -2,7 +2,7 @@
 
 #include "platform/lc-platform-packet.h"
 
-_Static_assert((int)LC_PACKET_RESET_BYTES >= (int)LC_PLATFORM_HEAD_BYTES, "a reset fits");
+_Static_assert((int)LC_PACKET_RESET_BYTES >= (int)LC_PLATFORM_HEADER_BYTES, "a reset fits");
 
 const char *const LC_PACKET_FORMAT_NAMES[] = { "ipv4", "returning", NULL };
 
@@ -33,12 +33,12 @@
 }
 
 size_t
-lc_packet_format_reset (LcPacketFormat format,
-                        const LcPacket *packet,
-                        uint8_t out[LC_PACKET_RESET_BYTES])
+lc_packet_format_build_reset (LcPacketFormat format,
+                              const LcPacket *packet,
+                              uint8_t out[LC_PACKET_RESET_BYTES])
 {
   if (format != LC_PACKET_RETURNING)
     return 0;
-  lc_platform_packet_reset (packet, out);
-  return LC_PLATFORM_HEAD_BYTES;
+  lc_platform_packet_build_reset (packet, out);
+  return LC_PLATFORM_HEADER_BYTES;
 }
--- a/src/io/lc-packet-format.h
+++ b/src/io/lc-packet-format.h
@@ -42,8 +42,8 @@
 /* Sets the mark that a returned packet carries back, and clears the flag of a returned packet. */
 void lc_packet_format_set_mark (LcPacketFormat format, uint8_t *bytes, uint32_t mark);
 /* Builds a reset for the packet's caller; returns its size, 0 when the format has none. */
-size_t lc_packet_format_reset (LcPacketFormat format,
-                               const LcPacket *packet,
-                               uint8_t out[LC_PACKET_RESET_BYTES]);
+size_t lc_packet_format_build_reset (LcPacketFormat format,
+                                     const LcPacket *packet,
+                                     uint8_t out[LC_PACKET_RESET_BYTES]);
 
 #endif /* LC_PACKET_FORMAT_H */
--- a/src/io/lc-peer-pool.c
+++ b/src/io/lc-peer-pool.c
@@ -14,7 +14,7 @@
 } LcPeerPoolEntry;
 
 static void
-lc_peer_pool__entry_free (gpointer data)
+lc_peer_pool__free_entry (gpointer data)
 {
   LcPeerPoolEntry *entry = data;
 
@@ -27,7 +27,7 @@
 {
   pool->desc = *desc;
   pool->peers =
-      g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, lc_peer_pool__entry_free);
+      g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, lc_peer_pool__free_entry);
 }
 
 void
--- a/src/io/lc-settings.c
+++ b/src/io/lc-settings.c
@@ -25,7 +25,7 @@
 }
 
 static uint64_t
-lc_settings__max (const LcSettingsField *field)
+lc_settings__max_of (const LcSettingsField *field)
 {
   if (field->max != 0)
     return field->max;
@@ -49,7 +49,7 @@
   char remedy[LC_ERROR_REMEDY_MAX];
 
   (void)snprintf (remedy, sizeof remedy, "use a whole number from %" PRIu64 " to %" PRIu64 " (%s)",
-                  field->min, lc_settings__max (field),
+                  field->min, lc_settings__max_of (field),
                   field->unit != NULL ? field->unit : "no unit");
   return lc_error_set (load->error, LC_ERR_INVALID, remedy,
                        "%s: $.%s: %" JSON_INTEGER_FORMAT " is out of range", load->origin,
@@ -85,7 +85,7 @@
 
   if (!json_is_integer (value))
     return lc_settings__wrong_type (load, f->path, "a whole number");
-  if (number < 0 || (uint64_t)number < f->min || (uint64_t)number > lc_settings__max (f))
+  if (number < 0 || (uint64_t)number < f->min || (uint64_t)number > lc_settings__max_of (f))
     return lc_settings__out_of_range (load, f, number);
   lc_settings__store_number (f, load->out + f->offset, (uint64_t)number);
   return 0;
@@ -158,7 +158,9 @@
 }
 
 static int
-lc_settings__put_list (const LcSettingsLoad *load, const LcSettingsField *f, const json_t *value)
+lc_settings__put_address_list (const LcSettingsLoad *load,
+                               const LcSettingsField *f,
+                               const json_t *value)
 {
   LcSocketAddress *list = (LcSocketAddress *)(void *)(load->out + f->offset);
   size_t max = f->size / sizeof *list;
@@ -220,7 +222,7 @@
         return lc_settings__wrong_type (load, f->path, "an address such as \"127.0.0.1:7000\"");
       return 0;
     case LC_SETTING_ADDRESS_LIST:
-      return lc_settings__put_list (load, f, value);
+      return lc_settings__put_address_list (load, f, value);
     case LC_SETTING_CHOICE:
       return lc_settings__put_choice (load, f, value);
     }
@@ -268,7 +270,7 @@
 /* === private: the document ================================================================== */
 
 static const json_t *
-lc_settings__find (const json_t *root, const char *path)
+lc_settings__find_value (const json_t *root, const char *path)
 {
   gchar **parts = g_strsplit (path, ".", 0);
   const json_t *at = root;
@@ -280,7 +282,7 @@
 }
 
 static const LcSettingsField *
-lc_settings__field (const LcSettingsSchema *schema, const char *path)
+lc_settings__find_field (const LcSettingsSchema *schema, const char *path)
 {
   for (size_t i = 0; i < schema->n_fields; i++)
     if (strcmp (schema->fields[i].path, path) == 0)
@@ -312,7 +314,7 @@
 
     if (json_is_object (value) && lc_settings__is_group (load->schema, path))
       r = lc_settings__check_known (load, value, path);
-    else if (lc_settings__field (load->schema, path) == NULL)
+    else if (lc_settings__find_field (load->schema, path) == NULL)
       r = lc_error_set (load->error, LC_ERR_INVALID,
                         "remove it or correct its spelling; `--print-settings` lists every field",
                         "%s: $.%s is not a setting of %s", load->origin, path,
@@ -332,7 +334,7 @@
   for (size_t i = 0; i < load->schema->n_fields && r == 0; i++)
     {
       const LcSettingsField *f = &load->schema->fields[i];
-      const json_t *value = lc_settings__find (root, f->path);
+      const json_t *value = lc_settings__find_value (root, f->path);
 
       r = value != NULL ? lc_settings__put (load, f, value) : lc_settings__put_default (load, f);
     }
@@ -436,7 +438,7 @@
     case LC_SETTING_PORT:
     case LC_SETTING_U32:
     case LC_SETTING_U64:
-      (void)fprintf (out, "%" PRIu64 " to %" PRIu64, f->min, lc_settings__max (f));
+      (void)fprintf (out, "%" PRIu64 " to %" PRIu64, f->min, lc_settings__max_of (f));
       break;
     case LC_SETTING_PERMILLE:
       (void)fprintf (out, "%g to %g", (double)f->min / 1000, (double)f->max / 1000);
--- a/src/io/lc-timer.c
+++ b/src/io/lc-timer.c
@@ -219,7 +219,7 @@
 }
 
 void
-lc_timer_hasten (LcTimer *timer, uint32_t after_ms)
+lc_timer_ensure_within (LcTimer *timer, uint32_t after_ms)
 {
   if (timer->position == 0 ||
       timer->deadline_us > lc_clock_now_us () + (int64_t)after_ms * LC_TIMER_US_PER_MS)
--- a/src/io/lc-timer.h
+++ b/src/io/lc-timer.h
@@ -47,7 +47,7 @@
 void lc_timer_init (LcTimer *timer, h2o_loop_t *loop, void (*fired) (void *user), void *user);
 void lc_timer_start (LcTimer *timer, uint32_t after_ms);
 /* Makes it fire within after_ms: starts it, unless it is due by then anyway. */
-void lc_timer_hasten (LcTimer *timer, uint32_t after_ms);
+void lc_timer_ensure_within (LcTimer *timer, uint32_t after_ms);
 void lc_timer_stop (LcTimer *timer);
 void lc_timer_finish (LcTimer *timer);
 
--- a/src/io/lc-wire-member.c
+++ b/src/io/lc-wire-member.c
@@ -41,7 +41,7 @@
 }
 
 static int
-lc_wire_member__incomplete (LcError *error, uint32_t kind)
+lc_wire_member__fail_incomplete (LcError *error, uint32_t kind)
 {
   return lc_error_set (error, LC_ERR_INVALID, "run the same version on both sides",
                        "membership change of kind %u is unknown or has no named body", kind);
@@ -62,7 +62,7 @@
     case LC_MEMBER_BALANCER_GONE:
     case LC_MEMBER_BALANCER_LOST:
       if (message->balancer == NULL || message->balancer->name[0] == '\0')
-        return lc_wire_member__incomplete (error, message->kind);
+        return lc_wire_member__fail_incomplete (error, message->kind);
       return lc_wire_balancer_read (&change->balancer, message->balancer, error);
     case LC_MEMBER_ENDPOINT_ANNOUNCED:
     case LC_MEMBER_ENDPOINT_RAMPED:
@@ -70,10 +70,10 @@
     case LC_MEMBER_ENDPOINT_GONE:
     case LC_MEMBER_ENDPOINT_LOST:
       if (message->endpoint == NULL || message->endpoint->name[0] == '\0')
-        return lc_wire_member__incomplete (error, message->kind);
+        return lc_wire_member__fail_incomplete (error, message->kind);
       return lc_wire_endpoint_read (&change->endpoint, message->endpoint, error);
     }
-  return lc_wire_member__incomplete (error, message->kind);
+  return lc_wire_member__fail_incomplete (error, message->kind);
 }
 
 /* === public: reading ======================================================================== */
@@ -191,7 +191,7 @@
 }
 
 ProtobufCMessage *
-lc_wire_member_unpack_up (const LcFrame *frame, bool allow_queries)
+lc_wire_member_unpack_upward (const LcFrame *frame, bool allow_queries)
 {
   const ProtobufCMessageDescriptor *d = lc_wire_member__descriptor (frame->type, allow_queries);
 
--- a/src/io/lc-wire-member.h
+++ b/src/io/lc-wire-member.h
@@ -57,6 +57,6 @@
 /* Unpacks a message of a member: hello, renewal, subscription or report, or with `allow_queries`
  * the lease query of another watcher.  NULL: another type, or a malformed payload.  Free it with
  * protobuf_c_message_free_unpacked. */
-ProtobufCMessage *lc_wire_member_unpack_up (const LcFrame *frame, bool allow_queries);
+ProtobufCMessage *lc_wire_member_unpack_upward (const LcFrame *frame, bool allow_queries);
 
 #endif /* LC_WIRE_MEMBER_H */
--- a/src/io/lc-wire-view.c
+++ b/src/io/lc-wire-view.c
@@ -224,7 +224,7 @@
 }
 
 static int
-lc_wire_view__missing (LcError *error, uint32_t kind)
+lc_wire_view__fail_missing (LcError *error, uint32_t kind)
 {
   return lc_error_set (error, LC_ERR_INVALID, "run the same version on both sides",
                        "view operation of kind %u has no matching body", kind);
@@ -358,7 +358,7 @@
   op->kind = (LcViewOpKind)message->kind;
   if (message->body_case == LC__WIRE__VIEW_OP__BODY__NOT_SET ||
       message->body_case != lc_wire_view__body_of (message->kind))
-    return lc_wire_view__missing (error, message->kind);
+    return lc_wire_view__fail_missing (error, message->kind);
   switch (message->body_case)
     {
     case LC__WIRE__VIEW_OP__BODY_DC:
@@ -378,12 +378,12 @@
       return 0;
     case LC__WIRE__VIEW_OP__BODY_FORMER:
       if (message->former->endpoint == NULL)
-        return lc_wire_view__missing (error, message->kind);
+        return lc_wire_view__fail_missing (error, message->kind);
       op->former.service_id = message->former->service_id;
       op->former.since_revision = message->former->since_revision;
       op->former.until_revision = message->former->until_revision;
       return lc_wire_endpoint_read (&op->former.endpoint, message->former->endpoint, error);
     default:
-      return lc_wire_view__missing (error, message->kind);
+      return lc_wire_view__fail_missing (error, message->kind);
     }
 }
--- a/tests/adapter/prop-report.cc
+++ b/tests/adapter/prop-report.cc
@@ -1,5 +1,6 @@
 /* RapidCheck on reports of a backend server that restarts, reordered, duplicated and late: the
- * state is the furthest that the newest start reported; no report of an earlier start changes it. */
+ * state is the furthest that the newest start reported; no report of an earlier start changes
+ * it. */
 #include "core/member/lc-backend-status.h"
 
 #include <rapidcheck.h>
--- a/tests/adapter/test-evacuation-call.c
+++ b/tests/adapter/test-evacuation-call.c
@@ -38,7 +38,7 @@
   LcEvacuation order;
   LcError error = { 0 };
 
-  ck_assert_msg (lc_platform_evacuation_is (&call) == CASES[_i].is_call, "%s", CASES[_i].path);
+  ck_assert_msg (lc_platform_evacuation_is_call (&call) == CASES[_i].is_call, "%s", CASES[_i].path);
   if (!CASES[_i].is_call)
     return;
   ck_assert_int_eq (lc_platform_evacuation_read (&order, &call, &error), CASES[_i].code);
--- a/tests/adapter/test-packet-head.c
+++ b/tests/adapter/test-packet-head.c
@@ -6,11 +6,11 @@
 #include <string.h>
 
 /* The first packet in the platform's specification, 100.64.0.7:40001 to 198.18.0.1:443. */
-static const uint8_t FIRST[LC_PLATFORM_HEAD_BYTES] = { 0x80, 0,    0,    0,    0,    0,    0x11,
-                                                       0x22, 0x33, 0x44, 0,    0,    0,    0,
-                                                       0,    0,    0,    0,    0xc6, 0x12, 0x00,
-                                                       0x01, 0x64, 0x40, 0x00, 0x07, 0x9c, 0x41,
-                                                       0x01, 0xbb, 0xa1, 0xb2, 0xc3, 0xd5 };
+static const uint8_t FIRST[LC_PLATFORM_HEADER_BYTES] = { 0x80, 0,    0,    0,    0,    0,    0x11,
+                                                         0x22, 0x33, 0x44, 0,    0,    0,    0,
+                                                         0,    0,    0,    0,    0xc6, 0x12, 0x00,
+                                                         0x01, 0x64, 0x40, 0x00, 0x07, 0x9c, 0x41,
+                                                         0x01, 0xbb, 0xa1, 0xb2, 0xc3, 0xd5 };
 
 typedef struct
 {
@@ -114,22 +114,22 @@
 /* The example of a reset in the platform's specification. */
 START_TEST (test_reset)
 {
-  static const uint8_t RESET[LC_PLATFORM_HEAD_BYTES] = {
+  static const uint8_t RESET[LC_PLATFORM_HEADER_BYTES] = {
     0x10, 0,    0,    0,    0,    0,    0,    0,    0,    0,    0,    0,    0,    0, 0, 0, 0,
     0,    0x64, 0x40, 0x00, 0x07, 0xc6, 0x12, 0x00, 0x01, 0x01, 0xbb, 0x9c, 0x41, 0, 0, 0, 0
   };
   uint8_t bytes[sizeof FIRST];
-  uint8_t out[LC_PLATFORM_HEAD_BYTES];
+  uint8_t out[LC_PLATFORM_HEADER_BYTES];
   LcPacket packet;
 
   memcpy (bytes, FIRST, sizeof bytes);
   ck_assert_int_eq (lc_platform_packet_parse (&packet, bytes, sizeof bytes), 0);
-  lc_platform_packet_reset (&packet, out);
+  lc_platform_packet_build_reset (&packet, out);
   ck_assert_mem_eq (out, RESET, sizeof out);
   bytes[0] = 0x01;
   memcpy (bytes + 10, "\x01\x02\x03\x04", 4);
   ck_assert_int_eq (lc_platform_packet_parse (&packet, bytes, sizeof bytes), 0);
-  lc_platform_packet_reset (&packet, out);
+  lc_platform_packet_build_reset (&packet, out);
   ck_assert_mem_eq (out + 6, "\x01\x02\x03\x04", 4);
 }
 END_TEST
--- a/tests/fakes/lc-fake-cluster.c
+++ b/tests/fakes/lc-fake-cluster.c
@@ -14,7 +14,7 @@
 }
 
 int64_t
-lc_fake__between (LcFakeCluster *c, int64_t min, int64_t max)
+lc_fake__random_between (LcFakeCluster *c, int64_t min, int64_t max)
 {
   return max > min ? min + (int64_t)lc_fake_cluster_random (c, (uint64_t)(max - min + 1)) : min;
 }
@@ -164,7 +164,7 @@
 }
 
 static void
-lc_fake__initial (const LcFakeCluster *c, LcRaftConfig *config)
+lc_fake__initial_config (const LcFakeCluster *c, LcRaftConfig *config)
 {
   memset (config, 0, sizeof *config);
   for (uint32_t i = 0; i < c->desc.n_members; i++)
@@ -255,7 +255,7 @@
 
 /* Formats an empty data folder, as a first start does. */
 static void
-lc_fake__make_node (LcFakeCluster *c, uint32_t node, bool is_founder)
+lc_fake__format_node (LcFakeCluster *c, uint32_t node, bool is_founder)
 {
   LcFakeNode *n = &c->nodes[node];
   LcStoreDesc desc = { .segment_bytes = c->desc.segment_bytes };
@@ -267,7 +267,7 @@
   n->disk = lc_fake_disk_new (c->desc.seed * 31 + node);
   desc.disk = lc_fake_disk_interface (n->disk);
   lc_store_init (&store, &desc);
-  lc_fake__initial (c, &initial);
+  lc_fake__initial_config (c, &initial);
   (void)lc_store_format (&store, n->id, NULL);
   (void)lc_store_set_cluster (&store, LC_FAKE_CLUSTER_ID, is_founder ? &initial : NULL, NULL);
   lc_store_finish (&store);
@@ -282,7 +282,7 @@
   c->nodes[node].is_gone = true;
   c->replaced = (int)node;
   c->replacement = (int)c->n_nodes++;
-  lc_fake__make_node (c, (uint32_t)c->replacement, false);
+  lc_fake__format_node (c, (uint32_t)c->replacement, false);
   (void)lc_fake_cluster_start (c, (uint32_t)c->replacement);
 }
 
@@ -378,7 +378,7 @@
 
       answer = is_up ? lc_control_state_answer (&n->state, command->request_id) : NULL;
       if (answer != NULL)
-        lc_fake__heard (c, command, answer);
+        lc_fake__record_answer (c, command, answer);
       else if (c->now_us >= resend_us)
         {
           if (is_up)
@@ -515,7 +515,7 @@
   c->replaced = -1;
   c->n_nodes = c->desc.n_members;
   for (uint32_t i = 0; i < c->n_nodes; i++)
-    lc_fake__make_node (c, i, true);
+    lc_fake__format_node (c, i, true);
   for (uint32_t i = 0; i < c->n_nodes; i++)
     (void)lc_fake_cluster_start (c, i);
   lc_fake__schedule (c, c->now_us, LC_FAKE_LEADER_STEP, 0, NULL);
--- a/tests/fakes/lc-fake-disk.c
+++ b/tests/fakes/lc-fake-disk.c
@@ -54,7 +54,7 @@
 }
 
 static void
-lc_fake__set (GByteArray *to, const GByteArray *from)
+lc_fake__copy_bytes (GByteArray *to, const GByteArray *from)
 {
   g_byte_array_set_size (to, 0);
   g_byte_array_append (to, from->data, from->len);
@@ -154,7 +154,7 @@
     return LC_ERR_NOT_FOUND;
   if (!lc_fake__may_sync (fake))
     return lc_error_set (error, LC_ERR_IO, "raise syncs_left", "sync of file %s failed", name);
-  lc_fake__set (file->durable, file->present);
+  lc_fake__copy_bytes (file->durable, file->present);
   return 0;
 }
 
@@ -210,7 +210,7 @@
 
 /* Cuts the unsynced bytes at a random place and zeroes random sectors of them. */
 static void
-lc_fake__tear (LcFakeDisk *fake, LcFakeFile *file)
+lc_fake__tear_file (LcFakeDisk *fake, LcFakeFile *file)
 {
   guint synced = file->durable->len;
   guint len = file->present->len;
@@ -218,7 +218,7 @@
 
   if (!is_prefix || len == synced || lc_fake__random (fake) % 3 == 0)
     {
-      lc_fake__set (file->present, file->durable);
+      lc_fake__copy_bytes (file->present, file->durable);
       return;
     }
   len = synced + 1 + (guint)(lc_fake__random (fake) % (len - synced));
@@ -226,12 +226,12 @@
   for (guint at = synced; at < len; at += LC_FAKE_SECTOR)
     if (lc_fake__random (fake) % 4 == 0)
       memset (file->present->data + at, 0, MIN (LC_FAKE_SECTOR, len - at));
-  lc_fake__set (file->durable, file->present);
+  lc_fake__copy_bytes (file->durable, file->present);
 }
 
 /* Keeps or reverts each change of a name since the last sync_folder. */
 static void
-lc_fake__settle_names (LcFakeDisk *fake)
+lc_fake__crash_names (LcFakeDisk *fake)
 {
   GHashTable *names = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, lc_fake__unref);
   GHashTableIter iter;
@@ -263,10 +263,10 @@
   GHashTableIter iter;
   gpointer value;
 
-  lc_fake__settle_names (fake);
+  lc_fake__crash_names (fake);
   g_hash_table_iter_init (&iter, fake->present);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    lc_fake__tear (fake, value);
+    lc_fake__tear_file (fake, value);
   fake->syncs_left = -1;
 }
 
--- a/tests/fakes/lc-fake-member.c
+++ b/tests/fakes/lc-fake-member.c
@@ -26,9 +26,9 @@
   if (lc_fake_cluster_random (c, 100) < c->desc.double_percent)
     n_copies = 2;
   for (uint32_t i = 0; i < n_copies; i++)
-    lc_fake__schedule (c,
-                       c->now_us + lc_fake__between (c, c->desc.delay_min_us, c->desc.delay_max_us),
-                       kind, to, bytes);
+    lc_fake__schedule (
+        c, c->now_us + lc_fake__random_between (c, c->desc.delay_min_us, c->desc.delay_max_us),
+        kind, to, bytes);
 }
 
 /* === private: a member ====================================================================== */
@@ -113,9 +113,9 @@
   if (lc_raft_take_persist (&n->raft, &n->persist))
     {
       n->is_writing = true;
-      lc_fake__schedule (c,
-                         c->now_us + lc_fake__between (c, c->desc.sync_min_us, c->desc.sync_max_us),
-                         LC_FAKE_STORED, (uint32_t)(n - c->nodes), NULL);
+      lc_fake__schedule (
+          c, c->now_us + lc_fake__random_between (c, c->desc.sync_min_us, c->desc.sync_max_us),
+          LC_FAKE_STORED, (uint32_t)(n - c->nodes), NULL);
     }
   lc_fake__send_all (c, n);
   lc_fake__maybe_snapshot (c, n);
@@ -170,8 +170,8 @@
 {
   if (!c->desc.steps_clocks || c->now_us < n->next_step_us)
     return; /* at most one step per lease */
-  n->next_step_us = c->now_us + lc_fake__between (c, 600000, 5000000);
-  n->clock_offset_us += lc_fake__between (c, -400000, 3000000);
+  n->next_step_us = c->now_us + lc_fake__random_between (c, 600000, 5000000);
+  n->clock_offset_us += lc_fake__random_between (c, -400000, 3000000);
 }
 
 void
--- a/tests/fakes/lc-fake-operators.c
+++ b/tests/fakes/lc-fake-operators.c
@@ -7,7 +7,9 @@
 /* === private: operators ===================================================================== */
 
 void
-lc_fake__heard (LcFakeCluster *c, const LcControlCommand *command, const LcControlAnswer *answer)
+lc_fake__record_answer (LcFakeCluster *c,
+                        const LcControlCommand *command,
+                        const LcControlAnswer *answer)
 {
   LcControlAnswer *first = g_hash_table_lookup (c->answered, command->request_id);
 
@@ -88,7 +90,7 @@
 }
 
 static int
-lc_fake__any_up (LcFakeCluster *c)
+lc_fake__random_up_node (LcFakeCluster *c)
 {
   uint32_t start = (uint32_t)lc_fake_cluster_random (c, c->n_nodes);
 
@@ -104,7 +106,7 @@
 
 /* Takes the answer from the node; false if it has none. */
 static bool
-lc_fake__look (LcFakeCluster *c, LcFakeOperator *o, uint32_t node)
+lc_fake__poll_answer (LcFakeCluster *c, LcFakeOperator *o, uint32_t node)
 {
   LcFakeNode *n = &c->nodes[node];
   const LcControlAnswer *answer = lc_control_state_answer (&n->state, o->command.request_id);
@@ -112,12 +114,12 @@
   if (answer == NULL)
     return false;
   o->answer = *answer;
-  lc_fake__heard (c, &o->command, answer);
+  lc_fake__record_answer (c, &o->command, answer);
   return true;
 }
 
 static void
-lc_fake__ask (LcFakeCluster *c, LcFakeOperator *o, uint32_t node)
+lc_fake__send_command (LcFakeCluster *c, LcFakeOperator *o, uint32_t node)
 {
   GBytes *bytes = lc_control_command_pack (&o->command);
 
@@ -127,7 +129,7 @@
 }
 
 static void
-lc_fake__begin (LcFakeCluster *c, LcFakeOperator *o)
+lc_fake__begin_command (LcFakeCluster *c, LcFakeOperator *o)
 {
   lc_control_command_finish (&o->command);
   if (o->answer.code == LC_OK && o->command.kind == LC_COMMAND_PLAN && o->answer.plan_id > 0)
@@ -148,14 +150,14 @@
 lc_fake__on_operator (LcFakeCluster *c, uint32_t index)
 {
   LcFakeOperator *o = &c->operators[index];
-  int node = lc_fake__any_up (c);
+  int node = lc_fake__random_up_node (c);
   int64_t again_us = MAX (c->desc.think_us / 20, 500);
 
   if (!o->is_waiting && c->desc.think_us > 0)
-    lc_fake__begin (c, o);
+    lc_fake__begin_command (c, o);
   if (o->is_waiting && node >= 0)
     {
-      if (lc_fake__look (c, o, (uint32_t)node))
+      if (lc_fake__poll_answer (c, o, (uint32_t)node))
         {
           int64_t took_us = c->now_us - o->asked_us;
 
@@ -166,7 +168,7 @@
             lc_fake__member_change (c, (uint32_t)node);
         }
       else if (c->now_us >= o->resend_us)
-        lc_fake__ask (c, o, (uint32_t)node);
+        lc_fake__send_command (c, o, (uint32_t)node);
     }
   lc_fake__schedule (c, c->now_us + again_us, LC_FAKE_OPERATOR, index, NULL);
 }
@@ -174,7 +176,10 @@
 /* === private: replacing a member ============================================================ */
 
 static void
-lc_fake__change (LcFakeCluster *c, LcFakeNode *leader, LcRaftChange change, const LcFakeNode *who)
+lc_fake__propose_change (LcFakeCluster *c,
+                         LcFakeNode *leader,
+                         LcRaftChange change,
+                         const LcFakeNode *who)
 {
   LcRaftMember member = { .id = who->id };
 
@@ -193,11 +198,11 @@
   if (leader == NULL || c->replaced < 0 || leader->paused_until_us > c->now_us)
     return;
   if (lc_raft_config_find (&leader->raft.config, c->nodes[c->replacement].id) == NULL)
-    lc_fake__change (c, leader, LC_RAFT_ADD_LEARNER, &c->nodes[c->replacement]);
+    lc_fake__propose_change (c, leader, LC_RAFT_ADD_LEARNER, &c->nodes[c->replacement]);
   else if (!lc_raft_config_is_voter (&leader->raft.config, c->nodes[c->replacement].id))
-    lc_fake__change (c, leader, LC_RAFT_PROMOTE, &c->nodes[c->replacement]);
+    lc_fake__propose_change (c, leader, LC_RAFT_PROMOTE, &c->nodes[c->replacement]);
   else if (lc_raft_config_find (&leader->raft.config, c->nodes[c->replaced].id) != NULL)
-    lc_fake__change (c, leader, LC_RAFT_REMOVE, &c->nodes[c->replaced]);
+    lc_fake__propose_change (c, leader, LC_RAFT_REMOVE, &c->nodes[c->replaced]);
   else if (leader->raft.config_index <= leader->raft.commit_index)
     c->replaced = -1;
 }
--- a/tests/fakes/lc-fake-private.h
+++ b/tests/fakes/lc-fake-private.h
@@ -94,7 +94,7 @@
 };
 
 /* lc-fake-cluster.c */
-int64_t lc_fake__between (LcFakeCluster *c, int64_t min, int64_t max);
+int64_t lc_fake__random_between (LcFakeCluster *c, int64_t min, int64_t max);
 void lc_fake__schedule (
     LcFakeCluster *c, int64_t at_us, LcFakeEventKind kind, uint32_t node, GBytes *bytes);
 int64_t lc_fake__clock (const LcFakeCluster *c, const LcFakeNode *n);
@@ -114,8 +114,9 @@
 void lc_fake__propose (LcFakeCluster *c, uint32_t node, GBytes *bytes, bool may_forward);
 
 /* lc-fake-operators.c */
-void
-lc_fake__heard (LcFakeCluster *c, const LcControlCommand *command, const LcControlAnswer *answer);
+void lc_fake__record_answer (LcFakeCluster *c,
+                             const LcControlCommand *command,
+                             const LcControlAnswer *answer);
 void lc_fake__new_request (LcFakeCluster *c, LcControlCommand *command, LcControlCommandKind kind);
 void lc_fake__declare (LcFakeCluster *c, LcIntent *intent);
 void lc_fake__on_operator (LcFakeCluster *c, uint32_t index);
--- a/tests/fakes/lc-member-fake.c
+++ b/tests/fakes/lc-member-fake.c
@@ -176,12 +176,12 @@
 }
 
 void
-lc_member_frame (LcMember *member, LcLink *link, const LcFrame *frame)
+lc_member_handle_frame (LcMember *member, LcLink *link, const LcFrame *frame)
 {
 }
 
 void
-lc_member_link_down (LcMember *member, LcLink *link)
+lc_member_handle_link_down (LcMember *member, LcLink *link)
 {
 }
 
@@ -202,7 +202,7 @@
 }
 
 int64_t
-lc_member_silence_us (const LcMember *member, int64_t now_us)
+lc_member_view_age_us (const LcMember *member, int64_t now_us)
 {
   return 0;
 }
@@ -221,7 +221,7 @@
 }
 
 bool
-lc_member_resume (LcMember *member)
+lc_member_adopt_instance (LcMember *member)
 {
   return false;
 }
@@ -233,17 +233,17 @@
 }
 
 void
-lc_member_keep (LcMember *member)
+lc_member_keep_registration (LcMember *member)
 {
 }
 
 void
-lc_member_learn_control (LcMember *member, const LcSocketAddress *list, uint32_t n)
+lc_member_add_control (LcMember *member, const LcSocketAddress *list, uint32_t n)
 {
 }
 
 void
-lc_member_note_revision (LcMember *member, LcRevision revision)
+lc_member_record_revision (LcMember *member, LcRevision revision)
 {
   (void)member;
   (void)revision;
--- a/tests/member/fake-control.c
+++ b/tests/member/fake-control.c
@@ -155,7 +155,7 @@
   FakeControl *c = user;
 
   if (!c->is_cut)
-    lc_distributor_frame (c->distributor, link, frame);
+    lc_distributor_receive (c->distributor, link, frame);
 }
 
 static void
--- a/tests/member/fake-node.c
+++ b/tests/member/fake-node.c
@@ -28,7 +28,7 @@
   FakeNode *n = user;
 
   if (!n->is_frozen && n->is_up)
-    lc_member_frame (&n->member, link, frame);
+    lc_member_handle_frame (&n->member, link, frame);
 }
 
 static void
@@ -37,7 +37,7 @@
   FakeNode *n = user;
 
   if (n->is_up)
-    lc_member_link_down (&n->member, link);
+    lc_member_handle_link_down (&n->member, link);
 }
 
 static void
--- a/tests/member/test-batch.c
+++ b/tests/member/test-batch.c
@@ -187,7 +187,7 @@
   message.n_changes = 1;
   frame.payload_len = (uint32_t)lc__wire__member_report__pack (&message, payload);
   frame.payload = payload;
-  lc_distributor_frame (w->distributor, NULL, &frame);
+  lc_distributor_receive (w->distributor, NULL, &frame);
 }
 
 static void
--- a/tests/member/test-member-links.c
+++ b/tests/member/test-member-links.c
@@ -128,7 +128,7 @@
 static void
 feed_lost (void *user, LcLink *link, const char *why)
 {
-  lc_view_server_link_down (&((Feed *)user)->server, link);
+  lc_view_server_handle_link_down (&((Feed *)user)->server, link);
 }
 
 static void
@@ -363,7 +363,7 @@
   ck_assert_ptr_null (lc_view_service_by_name (view, "ticket-vault"));
   ck_assert_uint_eq (view->balancers->len, N_BALANCERS);
   ck_assert (lc_member_is_confirmed (&w->agents[0].member));
-  ck_assert_int_ge (lc_member_silence_us (&w->agents[0].member, INT64_MAX), 0);
+  ck_assert_int_ge (lc_member_view_age_us (&w->agents[0].member, INT64_MAX), 0);
 }
 END_TEST
 
@@ -566,8 +566,8 @@
     {
       LcFrame frame = { .type = type, .payload_len = sizeof junk, .payload = junk };
 
-      lc_member_frame (&w->balancers[0].member, NULL, &frame);
-      lc_distributor_frame (w->control[0].distributor, NULL, &frame);
+      lc_member_handle_frame (&w->balancers[0].member, NULL, &frame);
+      lc_distributor_receive (w->control[0].distributor, NULL, &frame);
     }
   ck_assert_uint_eq (lc_metric_value (w->balancers[0].member.malformed_total), before + 12);
   converge ();
@@ -797,13 +797,13 @@
 
   lc_view_init (&view);
   lc_view_server_init (&server, &desc);
-  lc_view_server_greeted (&server, link);
+  lc_view_server_add_waiting (&server, link);
   lc_view_server_reset (&server); /* still no view */
   ck_assert_uint_eq (n_notified, 0);
   view.revision = 4;
   lc_view_server_reset (&server);
   ck_assert_uint_eq (n_notified, 1);
-  lc_view_server_greeted (&server, link);
+  lc_view_server_add_waiting (&server, link);
   view.revision = 5;
   lc_view_server_reset (&server);
   ck_assert_uint_eq (n_notified, 1);
@@ -904,7 +904,7 @@
   for (uint32_t i = 0; i < 2; i++)
     {
       s.blank[i].stands_by_for = &w->control[0];
-      lc_distributor_tell_waiting (s.blank[i].distributor);
+      lc_distributor_notify_waiting (s.blank[i].distributor);
     }
   is_done = fake_run_until (w->loop, have_views, &s, TIMEOUT_MS);
   stop_standby (&s);
--- a/tests/platform/test-attention.c
+++ b/tests/platform/test-attention.c
@@ -53,7 +53,7 @@
   guint n = 0;
 
   ck_assert_ptr_nonnull (status);
-  lines = lc_cli_attention (status);
+  lines = lc_cli_attention_list (status);
   while (n < 3 && CASES[_i].lines[n] != NULL)
     n++;
   ck_assert_msg (lines->len == n, "%s gives %u lines", CASES[_i].status, lines->len);
--- a/tests/platform/test-explain.c
+++ b/tests/platform/test-explain.c
@@ -163,7 +163,7 @@
   LcExplainLog log;
 
   load (&log);
-  lc_explain_flows (&log, &QUERIES[_i].query, flows);
+  lc_explain_list_flows (&log, &QUERIES[_i].query, flows);
   ck_assert_uint_eq (flows->len, QUERIES[_i].n);
   if (flows->len > 0)
     {
@@ -189,7 +189,7 @@
 
 START_TEST (test_parse_time)
 {
-  ck_assert_int_eq (lc_explain_time (TIMES[_i].text), TIMES[_i].at_us);
+  ck_assert_int_eq (lc_explain_parse_time (TIMES[_i].text), TIMES[_i].at_us);
 }
 END_TEST
 
--- a/tests/platform/test-spread.c
+++ b/tests/platform/test-spread.c
@@ -59,7 +59,7 @@
   close (fd);
   lc_spread_init (s);
   ck_assert_int_eq (lc_spread_read (s, path, NULL), 0);
-  lc_spread_finish_reading (s);
+  lc_spread_compute (s);
   unlink (path);
 }
 
@@ -153,7 +153,7 @@
   GArray *kinds;
 
   load (&s, LOG);
-  kinds = lc_spread_kinds (&s);
+  kinds = lc_spread_summarize (&s);
   ck_assert_uint_eq (kinds->len, 2);
   ck_assert_str_eq (g_array_index (kinds, LcSpreadKind, 1).what, "endpoint-lost");
   ck_assert_uint_eq (g_array_index (kinds, LcSpreadKind, 1).n, 1);
--- a/tests/request/test-claim-file.c
+++ b/tests/request/test-claim-file.c
@@ -71,15 +71,15 @@
   agent.claim_sync.n_earlier = 1;
   agent.claim_sync.complete = KNOWN.complete;
   agent.claim_sync.complete_from = KNOWN.complete_from;
-  ck_assert_int_eq (lc_claim_file_settle (&file, &agent, 0, &error), 0);
+  ck_assert_int_eq (lc_claim_file_update (&file, &agent, 0, &error), 0);
   for (uint64_t i = 0; i < N_KEYS; i++)
     {
       LcClaimRecord hold = hold_of (i + 1);
 
-      ck_assert_int_eq (lc_claim_file_claim (&file, &hold, &error), 0);
+      ck_assert_int_eq (lc_claim_file_append (&file, &hold, &error), 0);
     }
-  ck_assert_int_eq (lc_claim_file_claim (&file, &(LcClaimRecord){ .key = hold_of (1).key }, &error),
-                    0);
+  ck_assert_int_eq (
+      lc_claim_file_append (&file, &(LcClaimRecord){ .key = hold_of (1).key }, &error), 0);
   lc_claim_file_finish (&file);
   lc_request_agent_finish (&agent);
 }
@@ -177,8 +177,8 @@
   ck_assert_int_eq (lc_claim_file_load (&file, &agent, 0, &error), N_KEYS - 1);
   lc_request_agent_resume_claim (&agent, &hold);
   fake->bytes_left = 10;
-  ck_assert_int_lt (lc_claim_file_claim (&file, &hold, &error), 0);
-  ck_assert_int_eq (lc_claim_file_claim (&file, &hold, &error),
+  ck_assert_int_lt (lc_claim_file_append (&file, &hold, &error), 0);
+  ck_assert_int_eq (lc_claim_file_append (&file, &hold, &error),
                     0); /* not written, and the error is reported once */
   init_agent (&next, LATER + 1);
   {
@@ -190,7 +190,7 @@
     lc_claim_file_finish (&other);
   }
   fake->bytes_left = -1;
-  ck_assert_int_eq (lc_claim_file_settle (&file, &agent, 2 * LC_CLAIM_FILE_RETRY_US, &error), 0);
+  ck_assert_int_eq (lc_claim_file_update (&file, &agent, 2 * LC_CLAIM_FILE_REWRITE_US, &error), 0);
   {
     LcClaimFile other;
 
@@ -221,9 +221,9 @@
     {
       LcClaimRecord hold = hold_of (i);
 
-      ck_assert_int_eq (lc_claim_file_claim (&file, &hold, &error), 0);
-      ck_assert_int_eq (lc_claim_file_settle (&file, &agent, (int64_t)i, &error), 0);
-      ck_assert_uint_lt (file.bytes, 2 * LC_CLAIM_FILE_SLACK);
+      ck_assert_int_eq (lc_claim_file_append (&file, &hold, &error), 0);
+      ck_assert_int_eq (lc_claim_file_update (&file, &agent, (int64_t)i, &error), 0);
+      ck_assert_uint_lt (file.bytes, 2 * LC_CLAIM_FILE_GROWTH);
     }
   lc_claim_file_finish (&file);
   lc_request_agent_finish (&agent);
