--- a/src/control/lc-control-http.h
+++ b/src/control/lc-control-http.h
@@ -13,7 +13,7 @@
  *
  * HOW TO USE IT
  *     lc_control_http_init (&http, &desc, &error);
- *     lc_control_http_answer_applied (&http);          after each applied batch
+ *     lc_control_http_answer_applied (&http);   after each applied batch
  *     lc_control_http_drain (&http);            planned stop: accept no more
  *     lc_control_http_is_idle (&http)           no request waits
  *     lc_control_http_finish (&http);
--- a/src/control/lc-distributor.h
+++ b/src/control/lc-distributor.h
@@ -12,7 +12,7 @@
  *     distributor = lc_distributor_new (&desc, &error);
  *     lc_distributor_publish (distributor, ops, n_ops);   after each applied batch
  *     lc_distributor_reset (distributor);                 after a snapshot was loaded
- *     lc_distributor_receive (distributor, link, frame);    frames 100..199 of the peer server
+ *     lc_distributor_receive (distributor, link, frame);  frames 100..199 of the peer server
  *     lc_distributor_link_down (distributor, link);       when a link of the peer server closes
  *     lc_distributor_free (distributor);
  *
--- a/src/control/lc-replica.h
+++ b/src/control/lc-replica.h
@@ -9,7 +9,7 @@
  *     lc_replica_init (&replica, &desc, &error);
  *     lc_replica_propose (&replica, &command, &error);   a follower forwards it to the leader
  *     lc_replica_state (&replica)                        the applied state
- *     lc_replica_receive (&replica, link, frame);          frames 200..299 of the peer server
+ *     lc_replica_receive (&replica, link, frame);        frames 200..299 of the peer server
  *     lc_replica_finish (&replica);
  *   `applied` is called after each batch of applied commands; the answer to a plan or confirm is
  *   then in the state under its request id, on every VM.
--- a/src/control/lc-store-task.h
+++ b/src/control/lc-store-task.h
@@ -6,9 +6,9 @@
  *
  * HOW TO USE IT
  *     lc_store_task_init (&task, &desc);
- *     lc_store_task_write (&task, &persist);       takes ownership of its contents
- *     lc_store_task_save_snapshot (&task, &snapshot);   likewise
- *     lc_store_task_finish (&task);                waits for what is under way and queued
+ *     lc_store_task_write (&task, &persist);           takes ownership of its contents
+ *     lc_store_task_save_snapshot (&task, &snapshot);  likewise
+ *     lc_store_task_finish (&task);                    waits for what is under way and queued
  *   `done` is called on the loop for each job, and also for each attempt that found the disk full:
  *   then `is_final` is false and the task retries it every half second.
  *
--- a/src/core/burn/lc-burn-ring.h
+++ b/src/core/burn/lc-burn-ring.h
@@ -7,8 +7,8 @@
  *
  * HOW TO USE IT
  *     LcBurnRing ring = { 0 };
- *     lc_burn_ring_tick (&ring, uptime_us, &counts);     at any interval
- *     size_t n = lc_burn_ring_read (&ring, samples, LC_BURN_RING_SAMPLES);   oldest first
+ *     lc_burn_ring_tick (&ring, uptime_us, &counts);                        at any interval
+ *     size_t n = lc_burn_ring_read (&ring, samples, LC_BURN_RING_SAMPLES);  oldest first
  *
  * LIFETIME
  *   A plain value of about 18 KiB; it owns nothing.
--- a/src/core/flow/lc-flow-finder.h
+++ b/src/core/flow/lc-flow-finder.h
@@ -1,4 +1,4 @@
-/* lc-flow-finder: searches all endpoints of a service for the owner of a flow that no home knows.
+/* lc-flow-finder: searches all endpoints of a service for a flow owner that no home has.
  *
  * WHAT IT IS
  *   A part of lc-flow-agent, for services whose backend servers return packets of flows that they
--- a/src/core/flow/lc-flow-reconnects.h
+++ b/src/core/flow/lc-flow-reconnects.h
@@ -13,8 +13,8 @@
  *   ranks, each that reconnects takes the slot of a new one that could still be answered in time.
  *
  * HOW TO USE IT
- *     lc_flow_reconnects_add (&returners, ipv4, now_us);      a flow of this caller has no owner
- *     if (lc_flow_reconnects_take (&returners, ipv4, now_us))  at a first packet of this caller
+ *     lc_flow_reconnects_add (&reconnects, ipv4, now_us);       a flow of this caller has no owner
+ *     if (lc_flow_reconnects_take (&reconnects, ipv4, now_us))  at a first packet of this caller
  *       its request is older than it looks
  *
  * LIFETIME
@@ -55,9 +55,9 @@
     uint32_t next;
   } LcFlowReconnects;
 
-  void lc_flow_reconnects_add (LcFlowReconnects *returners, uint32_t ipv4, int64_t now_us);
+  void lc_flow_reconnects_add (LcFlowReconnects *reconnects, uint32_t ipv4, int64_t now_us);
   /* Whether the caller lost a flow recently; true once for each lost flow. */
-  bool lc_flow_reconnects_take (LcFlowReconnects *returners, uint32_t ipv4, int64_t now_us);
+  bool lc_flow_reconnects_take (LcFlowReconnects *reconnects, uint32_t ipv4, int64_t now_us);
 
 #ifdef __cplusplus
 }
--- a/src/core/member/lc-flap.h
+++ b/src/core/member/lc-flap.h
@@ -7,7 +7,7 @@
  *
  * HOW TO USE IT
  *     lc_flap_init (&flap, &desc);
- *     lc_flap_record_return (&flap, "order-3", now_us);                 it came back
+ *     lc_flap_record_return (&flap, "order-3", now_us);        it came back
  *     if (lc_flap_is_suppressed (&flap, "order-3", now_us))    don't report it yet
  *     lc_flap_expire (&flap, now_us);                          periodically
  *     lc_flap_finish (&flap);
--- a/src/core/member/lc-watch.c
+++ b/src/core/member/lc-watch.c
@@ -352,7 +352,7 @@
     ((LcLease *)value)->reported = 0;
 }
 
-/* A member doesn't know that it is behind, as it lacks the newest revision; its watcher has it. */
+/* A member can't detect that it is behind, as it lacks the newest revision; its watcher has it. */
 static void
 lc_watch__fold_one (const LcLease *lease, LcRevision newest, LcFold *fold)
 {
--- a/src/core/member/lc-watch.h
+++ b/src/core/member/lc-watch.h
@@ -12,7 +12,7 @@
  *     lc_watch_announce (&watch, &change, now_us);
  *     lc_watch_renew (&watch, name, instance, phase, is_ramped, &fold, now_us);
  *     n = lc_watch_expire (&watch, now_us, suspects, max);      ask the other watchers for these
- *     lc_watch_confirm_elsewhere (&watch, name, instance);                  one of them holds it
+ *     lc_watch_confirm_elsewhere (&watch, name, instance);      one of them holds it
  *     lc_watch_collect (&watch, &view, now_us, report, user);   what to send upstream now
  *     lc_watch_finish (&watch);
  *
--- a/src/core/request/lc-attempts.c
+++ b/src/core/request/lc-attempts.c
@@ -72,7 +72,7 @@
 static LcStep
 lc_attempts__step_after_unknown (LcAttempts *attempt, LcRefuseReason reason)
 {
-  /* The key's owner doesn't know the outcome, so no other agent does. */
+  /* The key's owner has no outcome, so no other agent has one. */
   if (!lc_request_key_is_none (attempt->desc.key))
     return lc_attempts__finish (attempt, reason);
   return lc_attempts__retry_or_wait (attempt, reason);
--- a/src/core/request/lc-request-agent.h
+++ b/src/core/request/lc-request-agent.h
@@ -79,8 +79,9 @@
     LC_AGENT_CLAIM = 6,        /* claim: send it to the home */
     LC_AGENT_RELEASE = 7,      /* claim: release it at the home */
     LC_AGENT_READ_CLAIMS = 8,  /* read: request the member's claims */
-    LC_AGENT_PERSIST = 9,      /* keep: persist the claim for a restart, before any later action and
-                           * before the reply to the call that changed it */
+    /* persist: store the claim for a restart, before any later action and before the reply to the
+     * call that changed it */
+    LC_AGENT_PERSIST = 9,
     /* claim_delayed: the key can't be claimed for now; once a run, for logs */
     LC_AGENT_CLAIM_DELAYED = 10,
   } LcAgentActionKind;
