--- a/src/io/lc-frame.h
+++ b/src/io/lc-frame.h
@@ -43,7 +43,7 @@
     LC_FRAME_LINK_PONG = 11,      /* the answer to a ping, without payload */
     LC_FRAME_MEMBER_FIRST = 100,  /* membership and distribution: lc-member-frames.h */
     LC_FRAME_CONTROL_FIRST = 200, /* replicated log: lc-control-frames.h */
-    LC_FRAME_FLOW_FIRST = 300,    /* flow pointers and loads: lc-flow-frames.h */
+    LC_FRAME_FLOW_FIRST = 300,    /* reserved: flow messages go by UDP (lc-flow-wire.h) */
     LC_FRAME_REQUEST_FIRST = 400, /* attempts and claims: lc-request-frames.h */
     LC_FRAME_TYPE_END = 500,
   } LcFrameType;
